--- a/crates/ploverwick_bench/src/decide.rs
+++ b/crates/ploverwick_bench/src/decide.rs
@@ -162,7 +162,7 @@
             (id((peer * 10 + n) % endpoints), load)
         });
         let loads: HashMap<_, _> = loads.collect();
-        fleet.report(Arc::from(format!("p{peer}")), loads, NOW);
+        fleet.record_report(Arc::from(format!("p{peer}")), loads, NOW);
     }
     fleet
 }
--- a/crates/ploverwick_daemon/src/budget.rs
+++ b/crates/ploverwick_daemon/src/budget.rs
@@ -41,12 +41,12 @@
         self.bucket.refill(rate, rate.max(1.0), now);
         let at_once = (f64::from(limits.at_once) / instances).ceil() as u32;
         let room = at_once.saturating_sub(self.running);
-        room.min(self.bucket.whole())
+        room.min(self.bucket.whole_tokens())
     }
 
     /// Says that a load starts.
     pub(crate) fn start(&mut self) {
-        self.bucket.draw();
+        self.bucket.take_unchecked();
         self.running += 1;
     }
 
--- a/crates/ploverwick_daemon/src/chain/limit.rs
+++ b/crates/ploverwick_daemon/src/chain/limit.rs
@@ -20,7 +20,7 @@
     let mut rates = lock(&node.rates);
     for limit in &terms.limits {
         rates
-            .share(&limit.subject, &limit.column, limit.rate, sharers, now)
+            .take_shared(&limit.subject, &limit.column, limit.rate, sharers, now)
             .map_err(|wait| {
                 let message = format!("{} of {} is reached", limit.column, limit.subject);
                 refuse(Code::LimitReached, message).retry_after(wait)
--- a/crates/ploverwick_daemon/src/controllers/table.rs
+++ b/crates/ploverwick_daemon/src/controllers/table.rs
@@ -78,7 +78,7 @@
         newer
     });
     if changed {
-        lock(&node.rates).forget_full(node.now());
+        lock(&node.rates).remove_full(node.now());
         metrics::gauge!("ploverwick_table_version").set(version.0 as f64);
         node.record(Event::new(
             Kind::Table,
--- a/crates/ploverwick_daemon/src/daemon.rs
+++ b/crates/ploverwick_daemon/src/daemon.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::{Duration, Instant};
 
-use ploverwick_limits::{Past, Rates};
+use ploverwick_limits::{PriorUse, RateLimiter};
 use ploverwick_members::Controller as Members;
 use ploverwick_names::{Incarnation, Life, Moment};
 use ploverwick_owner::holds::Controller as Holds;
@@ -273,7 +273,7 @@
         loads: Mutex::new(Loads::new(start)),
         retries: Mutex::new(Retries::new()),
         // Nothing tells a daemon whether the system starts for the first time.
-        rates: Mutex::new(Rates::new(Past::Unproven)),
+        rates: Mutex::new(RateLimiter::new(PriorUse::Unknown)),
         endpoint_status: Mutex::new(BTreeMap::new()),
         draining: AtomicBool::new(false),
         started: Instant::now(),
--- a/crates/ploverwick_daemon/src/node.rs
+++ b/crates/ploverwick_daemon/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, OnceLock};
 use std::time::Instant;
 
-use ploverwick_limits::{Rates, Sharers};
+use ploverwick_limits::{RateLimiter, Sharers};
 use ploverwick_members::Controller as Members;
 use ploverwick_names::{Endpoint, Life, Moment, Offset, Request};
 use ploverwick_owner::holds::Controller as Holds;
@@ -56,7 +56,7 @@
     pub(crate) links: Links,
     pub(crate) loads: Mutex<Loads>,
     pub(crate) retries: Mutex<Retries>,
-    pub(crate) rates: Mutex<Rates>,
+    pub(crate) rates: Mutex<RateLimiter>,
     pub(crate) endpoint_status: Mutex<BTreeMap<Endpoint, crate::status::OwnedEndpoint>>,
     pub(crate) draining: AtomicBool,
     pub(crate) started: Instant,
--- a/crates/ploverwick_endpoints/src/budget.rs
+++ b/crates/ploverwick_endpoints/src/budget.rs
@@ -1,122 +1,128 @@
-//! A budget for sends beyond the first of each request.
+//! Retry budget of a service.
 //!
-//! The bound holds over the sum of all instances whatever processes start and end meanwhile, and no
-//! message is needed to keep the sum. Two parts of it rest on no memory of an earlier process:
+//! The budget bounds the retries of all instances together, even if processes start and stop, and needs
+//! no messages between instances. It has two parts, neither of which depends on the state of an earlier
+//! process:
 //!
-//! - A request earns a part of a repeat, which lapses soon. What is spent in a window was earned in it
-//!   or just before, by whichever process.
-//! - Of the fixed allowance each instance has an even part, once its process has run for a window: what
-//!   an earlier process spent of it has left the window by then.
+//! - Each request earns a fraction of a retry, which expires soon. Retries in a window were therefore earned
+//!   in that window or just before it, by any process.
+//! - Each instance has an equal share of a fixed allowance once its process has run for a full window. What
+//!   an earlier process spent is outside the window by then.
 //!
-//! A window can still hold more than it earned if most requests came just before it: a crowd that lasts
-//! less than a second and is gone, whose repeats come a second later.
+//! A window can still contain more retries than it earned if most requests arrived just before it, such as
+//! a burst of less than a second whose retries follow a second later.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use ploverwick_names::Moment;
 
-use crate::Census;
+use crate::InstanceCount;
 
-/// How finely time is counted.
-const BUCKET: Duration = Duration::from_millis(250);
+/// The time span that one bucket counts.
+const BUCKET_WIDTH: Duration = Duration::from_millis(250);
 
-/// How long a request earns for repeats. It lets as much be spent in a window of ten seconds as 11.5
-/// seconds of requests earn; [`SAFETY`] makes up for that.
-const EARNING: Duration = Duration::from_millis(1_500);
+/// How long a request can fund retries. With this value, the retries in a window of ten seconds can use
+/// what 11.5 seconds of requests earned; [`SAFETY_FACTOR`] compensates for the difference.
+const EARNING_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// The part of the bound that is used: 0.85 of 11.5 seconds of requests are below ten. The rest covers
-/// repeats that arrive later than they were sent.
-const SAFETY: f64 = 0.85;
+/// The fraction of the bound that is used: 0.85 of 11.5 seconds is less than ten seconds. The remainder
+/// covers retries that arrive some time after they were sent.
+const SAFETY_FACTOR: f64 = 0.85;
 
-/// The bound on repeats.
+/// The bound on retries over all instances.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rate {
-    /// Repeats for each request.
+pub struct RetryPolicy {
+    /// Retries earned by each request.
     pub ratio: f64,
-    /// Repeats in a window whatever the number of requests, over all instances.
+    /// Retries allowed in a window regardless of the number of requests, over all instances.
     pub allowance: f64,
-    /// The length of the window.
+    /// The length of the sliding window.
     pub window: Duration,
 }
 
-/// What a decision on a repeat rests on, in repeats.
+/// The state of a budget when a retry was decided on, in retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Account {
-    /// What requests have earned lately and is not spent.
+pub struct Balance {
+    /// What recent requests earned and has not been spent.
     pub earned: f64,
-    /// What was taken out of the allowance in the window.
+    /// What was spent from the allowance in the window.
     pub spent: f64,
-    /// This instance's part of the allowance.
+    /// This instance's share of the allowance.
     pub share: f64,
 }
 
-impl Account {
-    /// Returns whether there is a repeat left: what is not earned comes out of the allowance.
-    pub fn has_room(&self) -> bool {
+impl Balance {
+    /// Returns whether a retry is allowed. The allowance covers the part that is not earned.
+    pub fn allows_retry(&self) -> bool {
         let missing = self.missing();
         missing <= 0.0 || self.spent + missing <= self.share
     }
 
-    /// Returns the part of a repeat that is not earned.
+    /// Returns the fraction of a retry that is not earned.
     fn missing(&self) -> f64 {
         (1.0 - self.earned).max(0.0)
     }
 }
 
-/// An amount that was counted from a moment on.
+/// An amount counted over [`BUCKET_WIDTH`].
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     start: Moment,
     amount: f64,
 }
 
-/// The requests and repeats of one service in the recent past.
+/// The recent requests and retries of one service.
 #[derive(Debug, Default, Clone)]
 pub struct Budget {
-    /// Requests that may still earn.
+    /// Requests that can still fund retries.
     requests: VecDeque<Bucket>,
-    /// Repeats that were taken out of the allowance.
+    /// Retries that were charged to the allowance.
     spent: VecDeque<Bucket>,
 }
 
 impl Budget {
     /// Counts a request.
-    pub fn request(&mut self, now: Moment) {
-        self.lapse(now);
+    pub fn record_request(&mut self, now: Moment) {
+        self.drop_expired(now);
         add(&mut self.requests, 1.0, now);
     }
 
-    /// Takes a repeat out of the budget if there is one left, and returns what that rests on.
+    /// Charges a retry to the budget if one is available, and returns the balance before the charge.
     ///
-    /// `census` counts those that share the allowance.
-    pub fn repeat(&mut self, rate: Rate, census: &Census, now: Moment) -> Account {
-        self.lapse(now);
-        // A repeat at the end of its bucket counts for the whole window.
-        drop_until(&mut self.spent, now - rate.window - BUCKET);
-        let account = Account {
-            earned: SAFETY * rate.ratio * sum(&self.requests),
+    /// `instance_count` determines this instance's share of the allowance.
+    pub fn try_retry(
+        &mut self,
+        policy: RetryPolicy,
+        instance_count: &InstanceCount,
+        now: Moment,
+    ) -> Balance {
+        self.drop_expired(now);
+        // Keep a bucket until its last possible retry has left the window.
+        drop_before(&mut self.spent, now - policy.window - BUCKET_WIDTH);
+        let balance = Balance {
+            earned: SAFETY_FACTOR * policy.ratio * sum(&self.requests),
             spent: sum(&self.spent),
-            share: SAFETY * census.share(rate, now),
+            share: SAFETY_FACTOR * instance_count.share(policy, now),
         };
-        if account.has_room() {
-            let missing = account.missing();
+        if balance.allows_retry() {
+            let missing = balance.missing();
             if missing < 1.0 {
-                self.use_up((1.0 - missing) / (SAFETY * rate.ratio));
+                self.consume((1.0 - missing) / (SAFETY_FACTOR * policy.ratio));
             }
             if missing > 0.0 {
                 add(&mut self.spent, missing, now);
             }
         }
-        account
+        balance
     }
 
-    fn lapse(&mut self, now: Moment) {
-        drop_until(&mut self.requests, now - EARNING);
+    fn drop_expired(&mut self, now: Moment) {
+        drop_before(&mut self.requests, now - EARNING_WINDOW);
     }
 
-    /// Uses requests up, the oldest first.
-    fn use_up(&mut self, mut requests: f64) {
+    /// Consumes earned requests, the oldest first.
+    fn consume(&mut self, mut requests: f64) {
         for bucket in &mut self.requests {
             let used = bucket.amount.min(requests);
             bucket.amount -= used;
@@ -129,8 +135,8 @@
     buckets.iter().map(|bucket| bucket.amount).sum()
 }
 
-/// Drops the buckets that start before a moment.
-fn drop_until(buckets: &mut VecDeque<Bucket>, moment: Moment) {
+/// Drops the buckets that start before `moment`.
+fn drop_before(buckets: &mut VecDeque<Bucket>, moment: Moment) {
     while buckets.front().is_some_and(|b| b.start < moment) {
         buckets.pop_front();
     }
@@ -138,7 +144,7 @@
 
 fn add(buckets: &mut VecDeque<Bucket>, amount: f64, now: Moment) {
     match buckets.back_mut() {
-        Some(last) if now.since(last.start) < BUCKET => last.amount += amount,
+        Some(last) if now.since(last.start) < BUCKET_WIDTH => last.amount += amount,
         Some(_) | None => buckets.push_back(Bucket { start: now, amount }),
     }
 }
--- a/crates/ploverwick_endpoints/src/entry.rs
+++ b/crates/ploverwick_endpoints/src/entry.rs
@@ -1,49 +1,49 @@
-//! What the platform's list says of one endpoint.
+//! Entries of the platform's endpoint list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It is leaving and must get no new ones.
+    /// Is leaving and must not be sent new requests.
     Draining,
 }
 
-/// A base model that an endpoint holds, with its adapters.
+/// A base model that is loaded on an endpoint, with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// The base model.
+    /// The name of the base model.
     pub model: Arc<str>,
-    /// The adapters, each with its version.
+    /// The name and version of each loaded adapter.
     pub adapters: Vec<(Arc<str>, u64)>,
 }
 
-/// One line of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The identifier of this life of the endpoint; a restart has another one, also where the
+    /// Identifies this run of the endpoint. A restarted endpoint has a new identifier, even if the
     /// platform lists it under the same name.
     pub id: Arc<str>,
-    /// The service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of the endpoint.
     pub domain: Arc<str>,
-    /// The requests that it works on at once, 1 or more.
+    /// The number of requests that the endpoint processes concurrently; at least 1.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the endpoint accepts new requests.
     pub state: State,
-    /// What it held when it reported, if it serves models.
+    /// The models that were loaded at the last report; empty if the endpoint does not serve models.
     pub held: Vec<Held>,
-    /// When its process started, in milliseconds of Unix time; 0 if it does not say.
+    /// The start time of the process, in Unix milliseconds; 0 if not reported.
     pub born: u64,
-    /// The number of the heartbeat that says so; instances do not tell it each other.
+    /// The sequence number of the heartbeat that carried this entry. Not sent between instances.
     #[serde(skip)]
     pub beat: u64,
 }
--- a/crates/ploverwick_endpoints/src/fleet.rs
+++ b/crates/ploverwick_endpoints/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints as one instance sees them.
+//! The listed endpoints with their load and health, and the selection among them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,113 +8,114 @@
 use ploverwick_placement::{Candidate, score};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::load::{Load, Pace};
-use crate::reports::{Reports, Told};
+use crate::load::{Load, PromptPace};
+use crate::reports::{Report, Reports};
 use crate::{Entry, Health, Outcome, State, reports};
 
-/// The cost of a choice, comparable to milliseconds of waiting.
+/// The cost of sending a request to an endpoint, comparable to milliseconds of latency.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Cost(pub f64);
 
-/// Cost of a full batch against an empty one: a step grows little with the batch.
-const FILL: f64 = 30.0;
-/// Above this fill an endpoint is nearly full and the cost rises steeply.
-const NEARLY_FULL: f64 = 0.8;
-/// Cost of each batch's worth of requests above that.
-const CROWDED: f64 = 400.0;
-/// Cost of a refusal for want of room a moment ago.
-const REFUSED: f64 = 300.0;
-/// Cost of leaving the failure domain, without the bytes: a round trip there, and that what is known of
-/// its loads is half a second old, in which an endpoint gets two or three requests.
-const AWAY: f64 = 12.0;
-/// Cost of each kilobyte that leaves the failure domain: the milliseconds that it takes on a link of
-/// 20 Mbit/s, the size of an instance's own where they are small.
-const AWAY_KB: f64 = 0.4;
-/// How many times the median latency an endpoint may take before it costs.
-const SLOW: f64 = 1.6;
-/// The most that slowness costs.
-const SLOWEST: f64 = 400.0;
-/// Cost that spreads equal choices over requests, by a hash of key and endpoint.
-const SPREAD: f64 = 2.0;
-
-/// How far costs within the failure domain are moved by chance for each other instance there. What is
-/// known of the others' requests is some 100 ms old, so that all would choose the same endpoint until
-/// they hear of it; one instance adds about half a request to an endpoint meanwhile.
-const CROWD: f64 = 1.2;
-
-/// Cost to the requests under way of a millisecond of reading one more prompt, for each of them.
-const DISTURBING: f64 = 0.01;
-
-/// What a request wants of an endpoint.
+/// The cost of a full batch compared to an empty one. It is low because the duration of a generation step
+/// grows little with the batch size.
+const FILL_COST: f64 = 30.0;
+/// The fill above which the cost rises steeply.
+const NEARLY_FULL_FILL: f64 = 0.8;
+/// The cost of each full batch of requests above [`NEARLY_FULL_FILL`].
+const OVERLOAD_COST: f64 = 400.0;
+/// The cost of an endpoint that recently refused a request at capacity.
+const REFUSAL_COST: f64 = 300.0;
+/// The cost of sending to another failure domain, excluding the bytes. It covers the round trip and the age of
+/// the known loads there: they are half a second old, in which an endpoint gets two or three requests.
+const REMOTE_COST: f64 = 12.0;
+/// The cost of each kilobyte sent to another failure domain: the milliseconds that it takes on a link of
+/// 20 Mbit/s, which is the bandwidth of a small instance.
+const REMOTE_COST_PER_KB: f64 = 0.4;
+/// The ratio to the median latency above which latency adds cost.
+const SLOW_RATIO: f64 = 1.6;
+/// The maximum cost of high latency.
+const MAX_LATENCY_COST: f64 = 400.0;
+/// The maximum cost added by a hash of key and endpoint, which spreads requests over endpoints of equal cost.
+const TIE_BREAK_COST: f64 = 2.0;
+
+/// The range of pseudo-random jitter added to costs within the failure domain, for each other instance there.
+/// The known loads of other instances are about 100 ms old, so without jitter all instances would select the
+/// same endpoint in the meantime. Each instance adds about half a request to an endpoint during that time.
+const JITTER_COST_PER_PEER: f64 = 1.2;
+
+/// The cost to each request in progress per millisecond spent reading the new prompt.
+const INTERFERENCE_FACTOR: f64 = 0.01;
+
+/// The parameters of an endpoint selection.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
-    /// The service.
+    /// The service to send to.
     pub service: &'a str,
-    /// The failure domain that the request is in.
+    /// The failure domain that the request is sent from.
     pub domain: &'a str,
-    /// What requests that profit from the same endpoint share.
+    /// A key shared by requests that benefit from going to the same endpoint.
     pub key: &'a str,
-    /// The request's identifier, by which instances choose apart.
+    /// The identifier of the request, which seeds the jitter.
     pub id: &'a str,
-    /// The other instances of the failure domain, which choose at the same time.
+    /// The number of other instances in the failure domain that select endpoints concurrently.
     pub peers: usize,
-    /// The bytes that would leave the failure domain.
+    /// The number of bytes that would be sent to another failure domain.
     pub bytes: usize,
-    /// The tokens of its prompt.
+    /// The number of prompt tokens.
     pub prompt: u32,
-    /// The endpoints that it must not go to.
+    /// The endpoints to exclude.
     pub except: &'a [Arc<str>],
 }
 
 #[derive(Debug)]
 struct Member {
     entry: Entry,
-    /// What this instance has under way there.
+    /// The load of this instance's own requests.
     own: Load,
-    pace: Pace,
+    pace: PromptPace,
     health: Health,
 }
 
 impl Member {
-    /// Returns whether the list and the request itself allow that it goes there.
-    fn takes(&self, query: &Query<'_>) -> bool {
+    /// Returns whether the endpoint is ready, belongs to the service and is not excluded.
+    fn accepts(&self, query: &Query<'_>) -> bool {
         let is_ready = self.entry.state == State::Ready;
         let is_of_service = &*self.entry.service == query.service;
         is_ready && is_of_service && !query.except.contains(&self.entry.id)
     }
 }
 
-/// The endpoints that may take a request as far as their failures say.
+/// Which endpoints are eligible with regard to their health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Allowed {
-    /// Those that are not left out for their failures.
-    Sound,
-    /// All, as each is left out.
+enum Eligibility {
+    /// The endpoints that are not ejected.
+    Healthy,
+    /// All endpoints, because each of them is ejected.
     All,
 }
 
-impl Allowed {
+impl Eligibility {
     fn allows(self, member: &Member, now: Moment) -> bool {
-        self == Self::All || !member.health.is_out(now)
+        self == Self::All || !member.health.is_ejected(now)
     }
 }
 
-/// The endpoints that are listed, with load and health.
+/// The listed endpoints with their load and health.
 #[derive(Debug, Default)]
 pub struct Fleet {
     members: HashMap<Arc<str>, Member>,
     reports: Reports,
-    /// What all instances have under way at an endpoint, as its placer told it at a moment.
+    /// The load of all instances at each endpoint as reported by its placer, and when the report was received.
     totals: HashMap<Arc<str>, (Load, Moment)>,
-    /// The sum of the hashes of all lines, modulo 2^64. It is asked for with each message about the list, and
-    /// a hash over all lines would take 3 ms for 3,000 endpoints.
+    /// The sum of the hashes of all list entries, modulo 2^64. It is updated incrementally because each message
+    /// about the list needs it, and hashing 3,000 entries takes 3 ms.
     digest: u64,
 }
 
 impl Fleet {
-    /// Adds an endpoint or takes in its new line of the list.
+    /// Adds an endpoint or replaces its list entry.
     ///
-    /// One that leaves does not come back in the same life, whatever a late message says.
+    /// A draining endpoint never becomes ready again under the same identifier, even if a delayed message says so.
     pub fn put(&mut self, mut entry: Entry) {
         match self.members.get_mut(&entry.id) {
             Some(member) => {
@@ -122,15 +123,15 @@
                     entry.state = State::Draining;
                 }
                 let before = std::mem::replace(&mut member.entry, entry);
-                self.digest = self.digest.wrapping_sub(hash(&before));
-                self.digest = self.digest.wrapping_add(hash(&member.entry));
+                self.digest = self.digest.wrapping_sub(entry_hash(&before));
+                self.digest = self.digest.wrapping_add(entry_hash(&member.entry));
             }
             None => {
-                self.digest = self.digest.wrapping_add(hash(&entry));
+                self.digest = self.digest.wrapping_add(entry_hash(&entry));
                 let member = Member {
                     entry,
                     own: Load::default(),
-                    pace: Pace::default(),
+                    pace: PromptPace::default(),
                     health: Health::default(),
                 };
                 self.members.insert(Arc::clone(&member.entry.id), member);
@@ -147,134 +148,137 @@
         if member.entry.state == State::Draining {
             return false;
         }
-        self.digest = self.digest.wrapping_sub(hash(&member.entry));
+        self.digest = self.digest.wrapping_sub(entry_hash(&member.entry));
         member.entry.state = State::Draining;
-        self.digest = self.digest.wrapping_add(hash(&member.entry));
+        self.digest = self.digest.wrapping_add(entry_hash(&member.entry));
         true
     }
 
-    /// Takes an endpoint off the list; `false` if it was not on it.
+    /// Removes an endpoint. Returns `false` if it was not listed.
     pub fn remove(&mut self, id: &str) -> bool {
         self.totals.remove(id);
         let removed = self.members.remove(id);
         if let Some(member) = &removed {
-            self.digest = self.digest.wrapping_sub(hash(&member.entry));
+            self.digest = self.digest.wrapping_sub(entry_hash(&member.entry));
         }
         removed.is_some()
     }
 
-    /// Returns an endpoint's line of the list.
+    /// Returns the list entry of an endpoint.
     pub fn entry(&self, id: &str) -> Option<&Entry> {
         self.members.get(id).map(|member| &member.entry)
     }
 
-    /// Iterates over the lines of the list, in no order.
+    /// Iterates over the list entries in arbitrary order.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.members.values().map(|member| &member.entry)
     }
 
-    /// Returns a digest of the list: who is on it, where, and whether it takes requests.
+    /// Returns a digest of the identifier, service, address and state of each list entry.
     ///
-    /// Instances compare it: the sum, modulo 2^64, of XXH3 with 64 bits over each line is part of their
-    /// protocol.
+    /// Instances compare their digests, so the algorithm is part of the protocol between them: the sum of the
+    /// 64-bit XXH3 hashes of all entries, modulo 2^64.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Returns whether an endpoint may get new requests.
+    /// Returns whether an endpoint is listed as ready.
     pub fn is_ready(&self, id: &str) -> bool {
         self.entry(id).is_some_and(|e| e.state == State::Ready)
     }
 
-    /// Returns whether an endpoint is left out now for its failures.
-    pub fn is_out(&self, id: &str, now: Moment) -> bool {
+    /// Returns whether an endpoint is ejected because of failures.
+    pub fn is_ejected(&self, id: &str, now: Moment) -> bool {
         let member = self.members.get(id);
-        member.is_some_and(|member| member.health.is_out(now))
+        member.is_some_and(|member| member.health.is_ejected(now))
     }
 
-    /// Counts the endpoints of a service in a failure domain that may get new requests.
-    pub fn usable(&self, service: &str, domain: &str, now: Moment) -> usize {
-        let there = self.members.values();
-        let there = there.filter(|m| *m.entry.service == *service && *m.entry.domain == *domain);
-        let ready = there.filter(|m| m.entry.state == State::Ready && !m.health.is_out(now));
+    /// Returns the number of endpoints of a service in a failure domain that are ready and not ejected.
+    pub fn count_usable(&self, service: &str, domain: &str, now: Moment) -> usize {
+        let in_domain = self.members.values();
+        let in_domain =
+            in_domain.filter(|m| *m.entry.service == *service && *m.entry.domain == *domain);
+        let ready =
+            in_domain.filter(|m| m.entry.state == State::Ready && !m.health.is_ejected(now));
         ready.count()
     }
 
-    /// Counts a request that is sent to an endpoint, with the tokens of its prompt.
-    pub fn sent(&mut self, id: &str, prompt: u32) {
+    /// Records that a request with `prompt` tokens was sent to an endpoint.
+    pub fn record_sent(&mut self, id: &str, prompt: u32) {
         if let Some(member) = self.members.get_mut(id) {
             member.own.requests += 1;
             member.own.reading += prompt;
-            member.health.sent();
+            member.health.record_sent();
         }
     }
 
-    /// Takes in that an endpoint has read a prompt, or that its request ended before.
-    pub fn read(&mut self, id: &str, prompt: u32) {
+    /// Records that an endpoint finished reading a prompt, or that the request ended before.
+    pub fn record_prompt_read(&mut self, id: &str, prompt: u32) {
         if let Some(member) = self.members.get_mut(id) {
             member.own.reading = member.own.reading.saturating_sub(prompt);
         }
     }
 
-    /// Counts a request that ended at an endpoint.
-    pub fn ended(&mut self, id: &str, outcome: Outcome, now: Moment) {
+    /// Records that a request ended at an endpoint.
+    pub fn record_ended(&mut self, id: &str, outcome: Outcome, now: Moment) {
         if let Some(member) = self.members.get_mut(id) {
             member.own.requests = member.own.requests.saturating_sub(1);
             member.health.record(outcome, now);
         }
     }
 
-    /// Counts a failure that is not the end of a request, such as a refused connection.
-    pub fn failed(&mut self, id: &str, now: Moment) {
+    /// Records a failure that does not end a request, such as a refused connection.
+    pub fn record_failure(&mut self, id: &str, now: Moment) {
         if let Some(member) = self.members.get_mut(id) {
             member.health.record(Outcome::Broken, now);
         }
     }
 
-    /// Takes in how long the first byte of an answer took, before which `tokens` of prompts were to
-    /// be read, those of other requests included.
-    pub fn latency(&mut self, id: &str, tokens: u32, taken: Duration) {
+    /// Records the time to the first byte of an answer. `tokens` is the number of prompt tokens that were to be
+    /// read before it, including those of other requests.
+    pub fn record_latency(&mut self, id: &str, tokens: u32, taken: Duration) {
         if let Some(member) = self.members.get_mut(id) {
-            member.pace.answered(tokens, taken);
-            member.health.latency(taken);
+            member.pace.record_answer(tokens, taken);
+            member.health.record_latency(taken);
         }
     }
 
-    /// Takes in what a peer has under way.
-    pub fn report(&mut self, peer: Arc<str>, loads: HashMap<Arc<str>, Load>, now: Moment) {
-        self.reports.add(peer, Told { at: now, loads }, now);
+    /// Records the loads of a peer.
+    pub fn record_report(&mut self, peer: Arc<str>, loads: HashMap<Arc<str>, Load>, now: Moment) {
+        self.reports.add(peer, Report { at: now, loads }, now);
     }
 
-    /// Takes in what all instances have under way at an endpoint, as its placer sums it.
-    pub fn total(&mut self, endpoint: Arc<str>, load: Load, now: Moment) {
+    /// Records the load of all instances at an endpoint, as summed by its placer.
+    pub fn record_total(&mut self, endpoint: Arc<str>, load: Load, now: Moment) {
         self.totals.insert(endpoint, (load, now));
     }
 
-    /// Lists what this instance itself has under way.
+    /// Returns the load of this instance's own requests at each endpoint that has any.
     pub fn own_loads(&self) -> Vec<(Arc<str>, Load)> {
         let busy = self.members.values().filter(|m| m.own.requests > 0);
         busy.map(|m| (Arc::clone(&m.entry.id), m.own)).collect()
     }
 
-    /// Returns what is under way at an endpoint, as far as known.
+    /// Returns the known load of an endpoint.
     ///
-    /// What instances told directly is younger, what a placer sums is more complete.
+    /// This is the maximum of the load from direct reports, which is more recent, and of the total from the
+    /// placer, which is more complete.
     pub fn load(&self, id: &str, now: Moment) -> Load {
         let total = self.totals.get(id);
-        let total = total.filter(|(_, at)| now.since(*at) <= reports::AGE);
+        let total = total.filter(|(_, at)| now.since(*at) <= reports::MAX_REPORT_AGE);
         let total = total.map_or_else(Load::default, |(load, _)| *load);
-        self.heard_load(id, now).max(total)
+        self.reported_load(id, now).max(total)
     }
 
-    /// Returns what this instance and those that tell it directly have under way at an endpoint.
-    pub fn heard_load(&self, id: &str, now: Moment) -> Load {
+    /// Returns the load of this instance and of the peers that report to it directly.
+    pub fn reported_load(&self, id: &str, now: Moment) -> Load {
         let own = self.members.get(id).map_or_else(Load::default, |m| m.own);
         own + self.reports.load(id, now)
     }
 
-    /// Returns how long the first event of an answer will take at an endpoint: the prompts that are to
-    /// be read before it and its own, at the pace that the endpoint showed.
-    pub fn wait(&self, id: &str, prompt: u32, now: Moment) -> Option<Duration> {
+    /// Returns the expected time to the first event of an answer: the time to read the queued prompts and the
+    /// request's own, at the measured speed of the endpoint.
+    pub fn expected_wait(&self, id: &str, prompt: u32, now: Moment) -> Option<Duration> {
         let member = self.members.get(id)?;
         let ms = self.expected_ms(member, prompt, now);
         Some(Duration::from_secs_f64(ms / 1_000.0))
@@ -285,26 +289,27 @@
         f64::from(ahead.saturating_add(prompt)) * member.pace.ms_per_token()
     }
 
-    /// Returns how full an endpoint is; 1 is as many requests as it works on at once.
+    /// Returns the ratio of requests to slots of an endpoint; 1 means that all slots are in use.
     pub fn fill(&self, id: &str, now: Moment) -> Option<f64> {
         let slots = self.members.get(id)?.entry.slots;
         Some(f64::from(self.load(id, now).requests) / f64::from(slots.max(1)))
     }
 
-    /// Ranks the endpoints that may take a request, cheapest first.
+    /// Ranks the eligible endpoints for a request, cheapest first.
     ///
-    /// Endpoints that are left out for their failures come only if there are no others.
+    /// Ejected endpoints are eligible only if there are no others.
     pub fn rank(&self, query: &Query<'_>, now: Moment) -> Vec<(Cost, Arc<str>)> {
-        let allowed = self.allowed(query, now);
-        let takes = |member: &&Member| member.takes(query) && allowed.allows(member, now);
-        let members = self.members.values().filter(takes);
+        let eligibility = self.eligibility(query, now);
+        let is_eligible =
+            |member: &&Member| member.accepts(query) && eligibility.allows(member, now);
+        let members = self.members.values().filter(is_eligible);
         self.ranked(query, members, now)
     }
 
-    /// Returns the cheapest of some endpoints that may take a request, as [`Self::rank`] ranks them.
+    /// Returns the cheapest eligible endpoint among some candidates, by the ranking of [`Self::rank`].
     ///
-    /// An adapter has a few holders among some thousand endpoints, and whoever waits for one looks each time
-    /// that any is loaded: what this takes does not grow with the endpoints.
+    /// An adapter is loaded on a few of several thousand endpoints, and requests that wait for one call this each
+    /// time any adapter is loaded. The cost must therefore not grow with the total number of endpoints.
     pub fn best<'a>(
         &self,
         query: &Query<'_>,
@@ -312,22 +317,27 @@
         now: Moment,
     ) -> Option<(Cost, Arc<str>)> {
         let members = among.filter_map(|id| self.members.get(id));
-        let members: Vec<&Member> = members.filter(|member| member.takes(query)).collect();
-        let sound = members.iter().filter(|member| !member.health.is_out(now));
-        let mut ranked = self.ranked(query, sound.copied(), now);
-        if ranked.is_empty() && !members.is_empty() && self.allowed(query, now) == Allowed::All {
+        let members: Vec<&Member> = members.filter(|member| member.accepts(query)).collect();
+        let healthy = members
+            .iter()
+            .filter(|member| !member.health.is_ejected(now));
+        let mut ranked = self.ranked(query, healthy.copied(), now);
+        if ranked.is_empty()
+            && !members.is_empty()
+            && self.eligibility(query, now) == Eligibility::All
+        {
             ranked = self.ranked(query, members.into_iter(), now);
         }
         ranked.into_iter().next()
     }
 
-    /// Returns which endpoints a request may go to as far as their failures say.
-    fn allowed(&self, query: &Query<'_>, now: Moment) -> Allowed {
+    /// Returns which endpoints are eligible for a request with regard to their health.
+    fn eligibility(&self, query: &Query<'_>, now: Moment) -> Eligibility {
         let mut members = self.members.values();
-        if members.any(|member| member.takes(query) && !member.health.is_out(now)) {
-            Allowed::Sound
+        if members.any(|member| member.accepts(query) && !member.health.is_ejected(now)) {
+            Eligibility::Healthy
         } else {
-            Allowed::All
+            Eligibility::All
         }
     }
 
@@ -337,9 +347,9 @@
         members: impl Iterator<Item = &'a Member>,
         now: Moment,
     ) -> Vec<(Cost, Arc<str>)> {
-        // Only what reads no prompt is compared by its latency.
-        let reads = query.prompt > 0;
-        let median = (!reads)
+        // Latencies are comparable only between requests without a prompt.
+        let has_prompt = query.prompt > 0;
+        let median = (!has_prompt)
             .then(|| self.median_latency(query.service))
             .flatten();
         let costs = members.map(|m| (self.cost(m, query, median, now), Arc::clone(&m.entry.id)));
@@ -352,30 +362,30 @@
         let entry = &member.entry;
         let next = f64::from(self.load(&entry.id, now).requests + 1);
         let fill = next / f64::from(entry.slots.max(1));
-        let mut cost = FILL * fill + CROWDED * (fill - NEARLY_FULL).max(0.0);
+        let mut cost = FILL_COST * fill + OVERLOAD_COST * (fill - NEARLY_FULL_FILL).max(0.0);
         if &*entry.domain == query.domain {
-            cost += CROWD * query.peers as f64 * chance(query.id, &entry.id);
+            cost += JITTER_COST_PER_PEER * query.peers as f64 * jitter(query.id, &entry.id);
         } else {
-            cost += AWAY + AWAY_KB * query.bytes as f64 / 1_024.0;
+            cost += REMOTE_COST + REMOTE_COST_PER_KB * query.bytes as f64 / 1_024.0;
         }
         cost += self.expected_ms(member, query.prompt, now);
         let own_ms = f64::from(query.prompt) * member.pace.ms_per_token();
-        cost += DISTURBING * own_ms * (next - 1.0);
+        cost += INTERFERENCE_FACTOR * own_ms * (next - 1.0);
         if member.health.is_full(now) {
-            cost += REFUSED;
+            cost += REFUSAL_COST;
         }
-        // Where prompts are read, the pace says how slow an endpoint is.
+        // For requests with a prompt, the expected time already covers slow endpoints.
         if query.prompt == 0
             && let (Some(median), Some(latency)) = (median, member.health.latency_ms())
         {
-            cost += (latency - SLOW * median).clamp(0.0, SLOWEST);
+            cost += (latency - SLOW_RATIO * median).clamp(0.0, MAX_LATENCY_COST);
         }
         let candidate = Candidate {
             name: &entry.id,
             weight: 1.0,
         };
-        // The score lies above 0 and is mostly below 3; its inverse spreads equal costs.
-        cost += SPREAD / (1.0 + score(query.key, &candidate));
+        // Scores are above 0 and mostly below 3, so the inverse varies enough to break ties.
+        cost += TIE_BREAK_COST / (1.0 + score(query.key, &candidate));
         Cost(cost)
     }
 
@@ -391,8 +401,8 @@
     }
 }
 
-/// Hashes a line of the list.
-fn hash(entry: &Entry) -> u64 {
+/// Returns the hash of a list entry.
+fn entry_hash(entry: &Entry) -> u64 {
     let Entry {
         id,
         service,
@@ -403,8 +413,8 @@
     xxh3_64(format!("{id} {service} {address} {state:?}").as_bytes())
 }
 
-/// Returns a number from -0.5 to 0.5 that differs by request and endpoint.
-fn chance(id: &str, endpoint: &str) -> f64 {
+/// Returns a pseudo-random number between -0.5 and 0.5 that is determined by the request and the endpoint.
+fn jitter(id: &str, endpoint: &str) -> f64 {
     let hash = xxh3_64_with_seed(endpoint.as_bytes(), xxh3_64(id.as_bytes()));
     hash as f64 / u64::MAX as f64 - 0.5
 }
--- a/crates/ploverwick_endpoints/src/health.rs
+++ b/crates/ploverwick_endpoints/src/health.rs
@@ -1,47 +1,47 @@
-//! What the outcomes of requests say of an endpoint's health.
+//! Passive health checks of endpoints, based on the outcomes of requests.
 //!
-//! Health is learned from the requests themselves. An endpoint that fails is left out for a while,
-//! longer each time, and comes back by one trial request.
+//! A failing endpoint is ejected for a while, longer each time, and is readmitted after one successful trial
+//! request.
 
 use std::time::Duration;
 
 use ploverwick_names::Moment;
 
-/// How a request ended at an endpoint.
+/// The outcome of a request at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered with success.
+    /// The endpoint answered successfully.
     Success,
-    /// It was answered with the endpoint's own error.
+    /// The endpoint answered with an error of its own.
     Error,
-    /// The endpoint said that it has not run it.
+    /// The endpoint reported that it has not executed the request.
     Refused,
-    /// The connection could not be made, broke, or brought bytes that are no answer.
+    /// The connection failed, broke, or returned an invalid answer.
     Broken,
-    /// The caller left; this says nothing of the endpoint.
+    /// The caller disconnected; this does not affect the health of the endpoint.
     Abandoned,
 }
 
-/// Failures in a row after which an endpoint is left out: two may be chance.
-const STREAK: u32 = 3;
-/// Share of recent outcomes that failed above which an endpoint is left out.
-const FAILED_SHARE: f64 = 0.4;
-/// Recent outcomes, by weight, below which the share says nothing.
-const FEWEST: f64 = 8.0;
-/// Weight that an outcome keeps with each later one: about twenty count.
-const DECAY: f64 = 0.95;
-/// Weight of an endpoint's own error: services answer some requests so when in good health.
+/// Consecutive broken requests after which an endpoint is ejected. Two may be a coincidence.
+const MAX_BROKEN_STREAK: u32 = 3;
+/// The ratio of failures among recent outcomes above which an endpoint is ejected.
+const MAX_FAILED_RATIO: f64 = 0.4;
+/// The weighted number of recent outcomes below which the failure ratio is not significant.
+const MIN_OUTCOME_WEIGHT: f64 = 8.0;
+/// The factor by which each new outcome reduces the weight of earlier ones. About twenty outcomes count.
+const OUTCOME_DECAY: f64 = 0.95;
+/// The weight of an endpoint's own error, since healthy services answer some requests with errors.
 const ERROR_WEIGHT: f64 = 0.6;
-/// The first time that an endpoint is left out; short, as most faults pass within seconds.
+/// The duration of the first ejection. It is short because most faults pass within seconds.
 const FIRST_EJECTION: Duration = Duration::from_millis(700);
-/// The longest time that an endpoint is left out.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
-/// How long a refusal for want of room counts against an endpoint.
-const FULL: Duration = Duration::from_millis(60);
-/// Weight of a new latency in its moving average.
+/// The longest ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// How long an endpoint counts as full after it refused a request at capacity.
+const REFUSAL_TTL: Duration = Duration::from_millis(60);
+/// The weight of a new sample in the moving average of latencies.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// The health of one endpoint as one instance sees it.
+/// The health of an endpoint, as observed by one instance.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     streak: u32,
@@ -55,14 +55,14 @@
 }
 
 impl Health {
-    /// Takes in how a request ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, outcome: Outcome, now: Moment) {
         let failed = match outcome {
             Outcome::Success => 0.0,
             Outcome::Error => ERROR_WEIGHT,
             Outcome::Broken => 1.0,
             Outcome::Refused => {
-                self.full_until = Some(now + FULL);
+                self.full_until = Some(now + REFUSAL_TTL);
                 ERROR_WEIGHT
             }
             Outcome::Abandoned => {
@@ -70,8 +70,8 @@
                 return;
             }
         };
-        self.total = self.total * DECAY + 1.0;
-        self.failed = self.failed * DECAY + failed;
+        self.total = self.total * OUTCOME_DECAY + 1.0;
+        self.failed = self.failed * OUTCOME_DECAY + failed;
         if outcome == Outcome::Success {
             self.streak = 0;
             if self.on_trial {
@@ -80,46 +80,46 @@
             return;
         }
         self.streak += u32::from(outcome == Outcome::Broken);
-        let is_sick = self.streak >= STREAK
-            || (self.total >= FEWEST && self.failed / self.total > FAILED_SHARE);
-        if is_sick || (self.on_trial && outcome == Outcome::Broken) {
+        let is_unhealthy = self.streak >= MAX_BROKEN_STREAK
+            || (self.total >= MIN_OUTCOME_WEIGHT && self.failed / self.total > MAX_FAILED_RATIO);
+        if is_unhealthy || (self.on_trial && outcome == Outcome::Broken) {
             self.eject(now);
         }
     }
 
-    /// Takes in how long the first byte of an answer took.
-    pub fn latency(&mut self, taken: Duration) {
+    /// Records the time to the first byte of an answer.
+    pub fn record_latency(&mut self, taken: Duration) {
         let ms = taken.as_secs_f64() * 1_000.0;
         let average = self.latency_ms.unwrap_or(ms);
         self.latency_ms = Some(average + LATENCY_WEIGHT * (ms - average));
     }
 
-    /// Returns the moving average of latencies in milliseconds.
+    /// Returns the moving average of the time to the first byte, in milliseconds.
     pub fn latency_ms(&self) -> Option<f64> {
         self.latency_ms
     }
 
-    /// Returns whether the endpoint is left out now, or has its one trial request already.
-    pub fn is_out(&self, now: Moment) -> bool {
+    /// Returns whether the endpoint is ejected or its trial request is already in progress.
+    pub fn is_ejected(&self, now: Moment) -> bool {
         self.ejected_until
             .is_some_and(|until| now < until || self.on_trial)
     }
 
-    /// Returns whether it refused a request for want of room a moment ago.
+    /// Returns whether the endpoint recently refused a request because it was at capacity.
     pub fn is_full(&self, now: Moment) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Says that a request was sent; after an ejection it is the trial.
-    pub fn sent(&mut self) {
+    /// Records that a request was sent. The first request after an ejection is the trial.
+    pub fn record_sent(&mut self) {
         if self.ejected_until.is_some() {
             self.on_trial = true;
         }
     }
 
     fn eject(&mut self, now: Moment) {
-        let span = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections);
-        self.ejected_until = Some(now + span.min(LONGEST_EJECTION));
+        let duration = FIRST_EJECTION * 2_u32.saturating_pow(self.ejections);
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION));
         self.ejections = (self.ejections + 1).min(4);
         self.on_trial = false;
         self.streak = 0;
--- a/crates/ploverwick_endpoints/src/heartbeats.rs
+++ b/crates/ploverwick_endpoints/src/heartbeats.rs
@@ -1,62 +1,62 @@
-//! Which heartbeat of an endpoint is its newest, and whether the endpoint left after it.
+//! Tracks the latest heartbeat of each endpoint and whether the endpoint has left since.
 //!
-//! A heartbeat may arrive after a newer one, and after its endpoint was taken off the list. It then
-//! proves nothing. What tells it apart is the order in which the topic holds the records, so that a
-//! process that starts reads the last of them before it believes the newest one.
+//! A heartbeat may arrive after a newer one, or after its endpoint was removed from the list, and must then
+//! be ignored. The order of the records in the topic shows which heartbeats are outdated, so a process reads
+//! the most recent records of the topic at its start before it trusts the latest heartbeat.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A heartbeat: the start of the endpoint's process, and the number of the heartbeat since.
+/// Identifies a heartbeat by the start time of the endpoint's process and its sequence number.
 ///
-/// An endpoint that starts again counts anew, so that the start decides first.
+/// Sequence numbers restart with the process, so the start time is compared first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Heartbeat {
-    /// When the process started, in milliseconds of Unix time; 0 if it does not say.
+    /// The start time of the process, in Unix milliseconds; 0 if not reported.
     pub born: u64,
-    /// The number since then.
+    /// The sequence number within this process.
     pub number: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Newest {
+struct Latest {
     heartbeat: Heartbeat,
-    has_left: bool,
+    has_departed: bool,
 }
 
-/// The newest heartbeat of each endpoint, those that left included.
+/// The latest heartbeat of each endpoint, including endpoints that have left.
 #[derive(Debug, Default)]
 pub struct Heartbeats {
-    newest: HashMap<Arc<str>, Newest>,
+    latest: HashMap<Arc<str>, Latest>,
 }
 
 impl Heartbeats {
-    /// Takes in a heartbeat, and returns whether it says what its endpoint is now.
+    /// Records a heartbeat and returns whether it describes the current state of its endpoint.
     ///
-    /// One that came late does not: a newer one was there before it, or its endpoint left after it.
-    /// `is_listed` says whether the endpoint is known from another source; if it is not, an older
-    /// heartbeat of one that has not left is better than none.
-    pub fn heard(&mut self, endpoint: &Arc<str>, heartbeat: Heartbeat, is_listed: bool) -> bool {
-        let newest = self.newest.entry(Arc::clone(endpoint)).or_insert(Newest {
+    /// An outdated heartbeat does not: a newer one was recorded before it, or its endpoint has left since.
+    /// `is_listed` is whether the endpoint is already known from another source. If it is not, an older
+    /// heartbeat of the same process is accepted unless the endpoint has left.
+    pub fn record(&mut self, endpoint: &Arc<str>, heartbeat: Heartbeat, is_listed: bool) -> bool {
+        let latest = self.latest.entry(Arc::clone(endpoint)).or_insert(Latest {
             heartbeat,
-            has_left: false,
+            has_departed: false,
         });
-        if heartbeat > newest.heartbeat {
-            *newest = Newest {
+        if heartbeat > latest.heartbeat {
+            *latest = Latest {
                 heartbeat,
-                has_left: false,
+                has_departed: false,
             };
         }
-        if newest.has_left || heartbeat.born < newest.heartbeat.born {
+        if latest.has_departed || heartbeat.born < latest.heartbeat.born {
             return false;
         }
-        heartbeat == newest.heartbeat || !is_listed
+        heartbeat == latest.heartbeat || !is_listed
     }
 
-    /// Takes in that an endpoint was taken off the list.
-    pub fn left(&mut self, endpoint: &str) {
-        if let Some(newest) = self.newest.get_mut(endpoint) {
-            newest.has_left = true;
+    /// Records that an endpoint was removed from the list.
+    pub fn record_departure(&mut self, endpoint: &str) {
+        if let Some(latest) = self.latest.get_mut(endpoint) {
+            latest.has_departed = true;
         }
     }
 }
--- a/crates/ploverwick_endpoints/src/lib.rs
+++ b/crates/ploverwick_endpoints/src/lib.rs
@@ -1,33 +1,33 @@
-//! What one instance knows of the endpoints, and which one it sends a request to.
+//! Tracks the state of endpoints on one instance and selects an endpoint for each request.
 //!
-//! Pure state: callers pass the time in and carry the messages. An instance knows its own requests
-//! exactly and those of its peers as of their last report.
+//! This crate performs no I/O and reads no clock: callers pass in the current time and exchange the
+//! messages. An instance knows its own requests exactly, and those of its peers as of their last report.
 
-mod absence;
+mod absences;
+mod answer_timeout;
 mod budget;
-mod census;
 mod departures;
 mod entry;
 mod fleet;
 mod health;
 mod heartbeats;
+mod instance_count;
 mod limit;
 mod limits;
 mod load;
-mod patience;
 mod pauses;
 mod reports;
 
-pub use absence::Absence;
-pub use budget::{Account, Budget, Rate};
-pub use census::Census;
+pub use absences::Absences;
+pub use answer_timeout::answer_timeout;
+pub use budget::{Balance, Budget, RetryPolicy};
 pub use departures::Departures;
 pub use entry::{Entry, Held, State};
 pub use fleet::{Cost, Fleet, Query};
 pub use health::{Health, Outcome};
 pub use heartbeats::{Heartbeat, Heartbeats};
-pub use limit::{Limit, Part};
-pub use limits::{Change, Limits, Told};
+pub use instance_count::InstanceCount;
+pub use limit::{Limit, Share};
+pub use limits::{Change, LimitUpdate, Limits};
 pub use load::Load;
-pub use patience::patience;
 pub use pauses::Pauses;
--- a/crates/ploverwick_endpoints/src/limit.rs
+++ b/crates/ploverwick_endpoints/src/limit.rs
@@ -1,4 +1,4 @@
-//! A limit that an endpoint in need names, and which instances send to it.
+//! Request rate limits that endpoints set, and how instances divide them.
 
 use std::time::Duration;
 
@@ -6,104 +6,108 @@
 use ploverwick_placement::{even, rank};
 use serde::{Deserialize, Serialize};
 
-/// The thousandths in a request.
-const THOUSAND: f64 = 1_000.0;
+const MILLIREQUESTS_PER_REQUEST: f64 = 1_000.0;
 
-/// The least that an instance which sends to a limited endpoint may send, in thousandths of a request a
-/// second. Each of them may have one request at hand beside its pace, so that they are few: what they have
-/// together is what the endpoint takes in two seconds, however many instances there are.
-const LEAST_PACE: u32 = 500;
+/// The lowest rate of a sender to a limited endpoint, in thousandths of a request per second. Each sender
+/// may have one request beyond its rate; this value limits those to the number of requests that the endpoint
+/// takes in two seconds, regardless of the number of instances.
+const MIN_SENDER_RATE: u32 = 500;
 
-/// The longest pause between two sends to a limited endpoint: only its answers say that it takes more again.
-pub(crate) const LONGEST_PAUSE: Duration = Duration::from_secs(10);
+/// The longest interval between two sends to a limited endpoint. Only its answers show that the limit has been
+/// raised or lifted.
+pub(crate) const MAX_SEND_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How much longer than the one before it an instance that stands by waits: an answer is heard of by then.
-const STEP: Duration = Duration::from_secs(1);
+/// How much longer each standby instance waits than the one ranked before it. Within this time, instances
+/// learn of an answer that another one received.
+const STANDBY_STEP: Duration = Duration::from_secs(1);
 
-/// The silence after which an instance of another failure domain tries an endpoint: none of its own domain
-/// runs, or none is asked for what it has.
-const OUTSIDERS_SILENCE: Duration = Duration::from_mins(2);
+/// The silence after which an instance of another failure domain sends to an endpoint: no instance of the
+/// endpoint's own domain is running, or none gets requests for its models.
+const REMOTE_STANDBY_SILENCE: Duration = Duration::from_mins(2);
 
-/// How many requests a second an endpoint takes from all instances together, in thousandths.
+/// The request rate that an endpoint accepts from all instances together, in thousandths of a request per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limit(u32);
 
 impl Limit {
-    /// Makes a limit of so many requests a second. Below zero is zero; above 4 million is no limit that
-    /// anything reaches, and counts as that many.
+    /// Creates a limit from a rate in requests per second. Negative rates become zero, and rates above about
+    /// 4 million, which no endpoint reaches, are capped.
     pub fn per_second(rate: f64) -> Self {
-        Self((rate * THOUSAND) as u32)
+        Self((rate * MILLIREQUESTS_PER_REQUEST) as u32)
     }
 
-    /// Returns how many instances may send to the endpoint.
+    /// Returns the maximum number of instances that may send to the endpoint.
     pub fn senders(self) -> usize {
-        self.0.div_ceil(LEAST_PACE).max(1) as usize
+        self.0.div_ceil(MIN_SENDER_RATE).max(1) as usize
     }
 
-    /// Returns the pause between two sends of one of `senders` instances.
-    fn pause(self, senders: usize) -> Duration {
-        let seconds = senders as f64 * THOUSAND / f64::from(self.0.max(1));
-        Duration::from_secs_f64(seconds).min(LONGEST_PAUSE)
+    /// Returns the interval between two sends of each of `senders` instances.
+    fn interval(self, senders: usize) -> Duration {
+        let seconds = senders as f64 * MILLIREQUESTS_PER_REQUEST / f64::from(self.0.max(1));
+        Duration::from_secs_f64(seconds).min(MAX_SEND_INTERVAL)
     }
 }
 
 impl std::fmt::Display for Limit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}", f64::from(self.0) / THOUSAND)
+        write!(f, "{}", f64::from(self.0) / MILLIREQUESTS_PER_REQUEST)
     }
 }
 
-/// What an instance may send to a limited endpoint.
+/// An instance's share of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
-    /// A request after each such pause.
-    Sends {
-        /// The pause, at least.
-        pause: Duration,
+pub enum Share {
+    /// The instance may send at a fixed interval.
+    Sender {
+        /// The minimum time between two requests.
+        interval: Duration,
     },
-    /// Nothing, as other instances do, unless none of them is heard to get an answer for so long.
-    StandsBy {
-        /// The silence. Those that stand by have different ones, so that not all try at once.
+    /// Other instances send to the endpoint; this one may only send after none of them has reported an answer
+    /// for some time.
+    Standby {
+        /// How long to wait without a reported answer. It differs between standby instances, so that they do
+        /// not all send at once.
         silence: Duration,
     },
 }
 
-impl Part {
-    /// What an instance has that is not among those that may send.
-    pub const NONE: Self = Self::StandsBy {
-        silence: OUTSIDERS_SILENCE,
+impl Share {
+    /// The share of an instance that is not among the candidates.
+    pub const NONE: Self = Self::Standby {
+        silence: REMOTE_STANDBY_SILENCE,
     };
 
-    /// Returns the part that the instance `own` has of an endpoint's limit.
+    /// Returns the share of the instance `own` in an endpoint's limit.
     ///
-    /// `instances` are those that may send to the endpoint, `own` among them or not. All that know the same
-    /// ones come to the same parts without a message, and who starts again has its part again, with nothing
-    /// of it spent in advance.
+    /// `instances` are the candidates that may send to the endpoint; `own` need not be one of them. Instances
+    /// with the same candidates compute the same shares without exchanging messages. An instance that restarts
+    /// gets the same share again and has not spent any of it in advance.
     pub fn of(limit: Limit, endpoint: &str, own: &str, instances: &[&str]) -> Self {
         let senders = limit.senders().min(instances.len());
         let ranked = rank(endpoint, &even(instances.iter().copied()), instances.len());
-        let place = ranked.iter().position(|index| instances[*index] == own);
-        match place {
-            Some(place) if place < senders => Self::Sends {
-                pause: limit.pause(senders),
+        let rank_index = ranked.iter().position(|index| instances[*index] == own);
+        match rank_index {
+            Some(rank_index) if rank_index < senders => Self::Sender {
+                interval: limit.interval(senders),
             },
-            Some(place) => {
-                let later = u32::try_from(place - senders).unwrap_or(u32::MAX);
-                let silence = LONGEST_PAUSE.saturating_add(STEP.saturating_mul(later));
-                Self::StandsBy {
-                    silence: silence.min(OUTSIDERS_SILENCE),
+            Some(rank_index) => {
+                let standby_index = u32::try_from(rank_index - senders).unwrap_or(u32::MAX);
+                let silence =
+                    MAX_SEND_INTERVAL.saturating_add(STANDBY_STEP.saturating_mul(standby_index));
+                Self::Standby {
+                    silence: silence.min(REMOTE_STANDBY_SILENCE),
                 }
             }
             None => Self::NONE,
         }
     }
 
-    /// Returns from when on the next request may go: `sent` is when the last one did, `heard` when an
-    /// answer anywhere last named the limit.
-    pub(crate) fn next(self, sent: Moment, heard: Moment) -> Moment {
+    /// Returns the earliest time of the next request. `last_sent` is the time of the last request, and
+    /// `updated_at` the time at which any instance last received an answer about the limit.
+    pub(crate) fn next_send(self, last_sent: Moment, updated_at: Moment) -> Moment {
         match self {
-            Self::Sends { pause } => sent + pause,
-            Self::StandsBy { silence } => sent.max(heard) + silence,
+            Self::Sender { interval } => last_sent + interval,
+            Self::Standby { silence } => last_sent.max(updated_at) + silence,
         }
     }
 }
--- a/crates/ploverwick_endpoints/src/limits.rs
+++ b/crates/ploverwick_endpoints/src/limits.rs
@@ -1,8 +1,8 @@
-//! The limits that endpoints in need name in their answers, kept by all instances together.
+//! Request rate limits that endpoints set in their answers, enforced by all instances together.
 //!
-//! An endpoint's limit bounds the sum over all instances, and each sees its own sends alone. Nobody counts for
-//! the others: a few instances have even parts of the limit, chosen by hash, and the others send
-//! nothing. So nothing of it is lost with an instance that ends, and no message comes before a send.
+//! An endpoint's limit applies to the sum over all instances, but each instance sees only its own requests.
+//! There is no central counter: a few instances, selected by hash, have equal shares of the limit, and the
+//! others send nothing. No state is lost when an instance stops, and sending needs no prior message.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,215 +11,217 @@
 use ploverwick_names::Moment;
 use serde::{Deserialize, Serialize};
 
-use crate::limit::LONGEST_PAUSE;
-use crate::{Limit, Part};
+use crate::limit::MAX_SEND_INTERVAL;
+use crate::{Limit, Share};
 
-/// What news changed in what is known of an endpoint's limit.
+/// How an answer or update changed an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// The limit did not change.
     Unchanged,
-    /// It has this limit from now on.
-    Named(Limit),
-    /// It names no limit any more.
+    /// The endpoint has this new limit.
+    Set(Limit),
+    /// The endpoint no longer has a limit.
     Lifted,
 }
 
-/// What one instance tells others of an endpoint's limit.
+/// A message from one instance to others about an endpoint's limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
-    /// The endpoint.
+pub struct LimitUpdate {
+    /// The identifier of the endpoint.
     pub endpoint: Arc<str>,
-    /// The limit, or `None` if an answer named none any more.
+    /// The limit, or `None` if it was lifted.
     pub limit: Option<Limit>,
-    /// How long ago an answer said so, in milliseconds.
+    /// The age of the answer that this is based on, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What is known of the limit of one endpoint.
+/// The state of the limit of one endpoint.
 #[derive(Debug)]
-struct Known {
-    /// The limit, or `None` if it was lifted lately: older news may still be on its way.
+struct EndpointLimit {
+    /// The limit, or `None` if it was recently lifted. Kept because older updates may still arrive.
     limit: Option<Limit>,
-    /// When an answer said so, here or elsewhere.
-    heard: Moment,
-    /// When an answer last said so here.
-    answered: Option<Moment>,
-    part: Part,
-    /// When the last request was sent, or the part became that of an instance that sends: it begins with a
-    /// pause, as another instance may have sent just before.
-    sent: Moment,
+    /// When the latest answer about the limit was received, on any instance.
+    updated_at: Moment,
+    /// When this instance last received an answer about the limit.
+    answered_at: Option<Moment>,
+    share: Share,
+    /// When this instance last sent a request or became a sender. A new sender waits for one interval first,
+    /// because another instance may have sent a request just before.
+    last_sent: Moment,
 }
 
-impl Known {
+impl EndpointLimit {
     fn new(limit: Limit, now: Moment) -> Self {
         Self {
             limit: Some(limit),
-            heard: now,
-            answered: None,
-            part: Part::NONE,
-            sent: now,
+            updated_at: now,
+            answered_at: None,
+            share: Share::NONE,
+            last_sent: now,
         }
     }
 
-    /// Takes in the limit as an answer said it at a moment.
-    fn learn(&mut self, limit: Option<Limit>, heard: Moment) -> Change {
-        self.heard = self.heard.max(heard);
+    /// Sets the limit according to an answer that was received at `updated_at`.
+    fn set(&mut self, limit: Option<Limit>, updated_at: Moment) -> Change {
+        self.updated_at = self.updated_at.max(updated_at);
         let before = std::mem::replace(&mut self.limit, limit);
         match limit {
             _ if before == limit => Change::Unchanged,
-            Some(limit) => Change::Named(limit),
+            Some(limit) => Change::Set(limit),
             None => Change::Lifted,
         }
     }
 }
 
-/// The limits of endpoints as one instance knows them.
+/// The limits of all endpoints, as known to one instance.
 #[derive(Debug, Default)]
 pub struct Limits {
-    known: HashMap<Arc<str>, Known>,
+    known: HashMap<Arc<str>, EndpointLimit>,
 }
 
 impl Limits {
-    /// Takes in what the answer to a request says that was sent at a moment: its endpoint's limit, or
-    /// `None` if it names none.
+    /// Records the limit in an answer to a request that was sent at `sent_at`; `None` if the answer
+    /// contains no limit.
     ///
-    /// A limit is lifted by a request that was sent after the limit was last heard of: answers pass each
-    /// other on their ways.
-    pub fn answered(
+    /// Only the answer to a request that was sent after the last update lifts a limit, because answers may
+    /// arrive out of order.
+    pub fn record_answer(
         &mut self,
         endpoint: &Arc<str>,
         limit: Option<Limit>,
-        sent: Moment,
+        sent_at: Moment,
         now: Moment,
     ) -> Change {
         let known = match (self.known.get_mut(endpoint), limit) {
             (None, Some(limit)) => {
-                let mut known = Known::new(limit, now);
-                known.answered = Some(now);
+                let mut known = EndpointLimit::new(limit, now);
+                known.answered_at = Some(now);
                 self.known.insert(Arc::clone(endpoint), known);
-                return Change::Named(limit);
+                return Change::Set(limit);
             }
             (Some(known), Some(_)) => known,
-            (Some(known), None) if sent > known.heard => known,
+            (Some(known), None) if sent_at > known.updated_at => known,
             (None | Some(_), None) => return Change::Unchanged,
         };
-        known.answered = Some(now);
-        known.learn(limit, now)
+        known.answered_at = Some(now);
+        known.set(limit, now)
     }
 
-    /// Takes in what another instance tells; older news than what is known changes nothing.
-    pub fn told(&mut self, told: &Told, now: Moment) -> Change {
-        let heard = now - Duration::from_millis(told.age_ms.into());
-        match (self.known.get_mut(&told.endpoint), told.limit) {
+    /// Applies an update from another instance. Updates that are older than the current state are ignored.
+    pub fn apply_update(&mut self, update: &LimitUpdate, now: Moment) -> Change {
+        let updated_at = now - Duration::from_millis(update.age_ms.into());
+        match (self.known.get_mut(&update.endpoint), update.limit) {
             (None, Some(limit)) => {
-                let mut known = Known::new(limit, now);
-                known.heard = heard;
-                self.known.insert(Arc::clone(&told.endpoint), known);
-                Change::Named(limit)
+                let mut known = EndpointLimit::new(limit, now);
+                known.updated_at = updated_at;
+                self.known.insert(Arc::clone(&update.endpoint), known);
+                Change::Set(limit)
             }
-            (Some(known), limit) if heard > known.heard => known.learn(limit, heard),
+            (Some(known), limit) if updated_at > known.updated_at => known.set(limit, updated_at),
             (None, None) | (Some(_), _) => Change::Unchanged,
         }
     }
 
-    /// Gives this instance its part of an endpoint's limit.
-    pub fn assign(&mut self, endpoint: &str, part: Part, now: Moment) {
+    /// Sets this instance's share of an endpoint's limit.
+    pub fn assign(&mut self, endpoint: &str, share: Share, now: Moment) {
         if let Some(known) = self.known.get_mut(endpoint) {
-            let stood_by = matches!(known.part, Part::StandsBy { .. });
-            if stood_by && matches!(part, Part::Sends { .. }) {
-                known.sent = now;
+            let was_standby = matches!(known.share, Share::Standby { .. });
+            if was_standby && matches!(share, Share::Sender { .. }) {
+                known.last_sent = now;
             }
-            known.part = part;
+            known.share = share;
         }
     }
 
-    /// Lists the endpoints that name a limit.
+    /// Iterates over the endpoints that have a limit.
     pub fn limited(&self) -> impl Iterator<Item = (&Arc<str>, Limit)> {
         let known = self.known.iter();
         known.filter_map(|(endpoint, known)| Some((endpoint, known.limit?)))
     }
 
-    /// Forgets endpoints that are not listed any more, whose last answers may have come after their end, and
-    /// what was lifted so long ago that no older news of it can come.
+    /// Removes endpoints that are no longer listed, whose last answers may have arrived after their removal, and
+    /// limits that were lifted long enough ago that no older updates can arrive.
     pub fn sweep(&mut self, is_listed: impl Fn(&str) -> bool, now: Moment) {
         self.known.retain(|endpoint, known| {
-            let is_young = now.since(known.heard) < LONGEST_PAUSE;
-            is_listed(endpoint) && (known.limit.is_some() || is_young)
+            let is_recent = now.since(known.updated_at) < MAX_SEND_INTERVAL;
+            is_listed(endpoint) && (known.limit.is_some() || is_recent)
         });
     }
 
-    /// Returns how long no request may go to an endpoint from here; `None` if one may now.
+    /// Returns the time until this instance may send to an endpoint; `None` if it may send now.
     pub fn wait(&self, endpoint: &str, now: Moment) -> Option<Duration> {
         let known = self.known.get(endpoint)?;
         known.limit?;
-        let next = known.part.next(known.sent, known.heard);
+        let next = known.share.next_send(known.last_sent, known.updated_at);
         (next > now).then(|| next.since(now))
     }
 
-    /// Lists the endpoints to which no request may go from here now.
+    /// Iterates over the endpoints that this instance may not send to now.
     pub fn closed(&self, now: Moment) -> impl Iterator<Item = &Arc<str>> {
         let endpoints = self.known.keys();
         endpoints.filter(move |endpoint| self.wait(endpoint, now).is_some())
     }
 
-    /// Counts a request that is sent to an endpoint; returns whether it has a limit.
-    pub fn sent(&mut self, endpoint: &str, now: Moment) -> bool {
+    /// Records that a request was sent to an endpoint. Returns whether the endpoint has a limit.
+    pub fn record_send(&mut self, endpoint: &str, now: Moment) -> bool {
         let known = self.known.get_mut(endpoint);
         let Some(known) = known.filter(|known| known.limit.is_some()) else {
             return false;
         };
-        known.sent = now;
+        known.last_sent = now;
         true
     }
 
-    /// Lists what answers here said within `span`, to be told to others.
-    pub fn news(&self, span: Duration, now: Moment) -> Vec<Told> {
-        let said = |known: &Known| known.answered.is_some_and(|at| now.since(at) <= span);
-        let news = self.known.iter().filter(|(_, known)| said(known));
-        news.map(|(endpoint, known)| told(endpoint, known, now))
+    /// Returns updates for other instances from the answers that this instance received within `max_age`.
+    pub fn recent_updates(&self, max_age: Duration, now: Moment) -> Vec<LimitUpdate> {
+        let is_recent =
+            |known: &EndpointLimit| known.answered_at.is_some_and(|at| now.since(at) <= max_age);
+        let recent = self.known.iter().filter(|(_, known)| is_recent(known));
+        recent
+            .map(|(endpoint, known)| to_update(endpoint, known, now))
             .collect()
     }
 
-    /// Lists all that is known, to be told to an instance that has just started.
-    pub fn all(&self, now: Moment) -> Vec<Told> {
+    /// Returns updates for all endpoints, for an instance that has just started.
+    pub fn updates(&self, now: Moment) -> Vec<LimitUpdate> {
         let known = self.known.iter();
         known
-            .map(|(endpoint, known)| told(endpoint, known, now))
+            .map(|(endpoint, known)| to_update(endpoint, known, now))
             .collect()
     }
 
-    /// Returns what is known of an endpoint, to be told to others.
-    pub fn tell(&self, endpoint: &Arc<str>, now: Moment) -> Option<Told> {
+    /// Returns an update about an endpoint for other instances.
+    pub fn update(&self, endpoint: &Arc<str>, now: Moment) -> Option<LimitUpdate> {
         let known = self.known.get(endpoint)?;
-        Some(told(endpoint, known, now))
+        Some(to_update(endpoint, known, now))
     }
 
-    /// Returns the limit that an endpoint names, if it does.
-    pub fn named(&self, endpoint: &str) -> Option<Limit> {
+    /// Returns the limit of an endpoint, if it has one.
+    pub fn get(&self, endpoint: &str) -> Option<Limit> {
         self.known.get(endpoint)?.limit
     }
 
-    /// Forgets an endpoint that has ended.
+    /// Removes an endpoint that is no longer listed.
     pub fn remove(&mut self, endpoint: &str) {
         self.known.remove(endpoint);
     }
 
-    /// Returns whether nothing is known of any endpoint's limit.
+    /// Returns whether no limits are stored. Recently lifted limits are also stored.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Counts the endpoints that name a limit.
-    pub fn in_force(&self) -> usize {
+    /// Returns the number of endpoints that have a limit.
+    pub fn active_count(&self) -> usize {
         let known = self.known.values();
         known.filter(|known| known.limit.is_some()).count()
     }
 }
 
-fn told(endpoint: &Arc<str>, known: &Known, now: Moment) -> Told {
-    let age = now.since(known.heard).as_millis();
-    Told {
+fn to_update(endpoint: &Arc<str>, known: &EndpointLimit, now: Moment) -> LimitUpdate {
+    let age = now.since(known.updated_at).as_millis();
+    LimitUpdate {
         endpoint: Arc::clone(endpoint),
         limit: known.limit,
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/crates/ploverwick_endpoints/src/load.rs
+++ b/crates/ploverwick_endpoints/src/load.rs
@@ -1,14 +1,14 @@
-//! What endpoints have under way, and how fast they read prompts.
+//! Load of endpoints and the speed at which they read prompts.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// What is under way at an endpoint.
+/// The load of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Load {
-    /// The requests.
+    /// The number of requests in progress.
     pub requests: u32,
-    /// The tokens of prompts that no answer has begun for.
+    /// The prompt tokens of requests whose answers have not started.
     pub reading: u32,
 }
 
@@ -24,15 +24,15 @@
 }
 
 impl Load {
-    /// Returns what is left without a part of it.
-    pub(crate) fn less(self, part: Self) -> Self {
+    /// Subtracts `part` from each count, down to zero.
+    pub(crate) fn saturating_sub(self, part: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(part.requests),
             reading: self.reading.saturating_sub(part.reading),
         }
     }
 
-    /// Returns the greater of two views, count by count.
+    /// Returns the maximum of each count.
     pub(crate) fn max(self, other: Self) -> Self {
         Self {
             requests: self.requests.max(other.requests),
@@ -41,37 +41,38 @@
     }
 }
 
-/// Milliseconds for a prompt token before any endpoint has answered: what a 70-billion-parameter model
-/// takes on one current accelerator, to a factor of two. The first answers replace it.
-const FIRST_PACE: f64 = 0.03;
-/// Prompt tokens below which the time of an answer says little of reading: steps and the network
-/// take as long.
-const FEWEST_TOKENS: u32 = 2_000;
-/// Weight of a new answer in the moving average: some eight answers count, a second of a busy endpoint.
-const PACE_WEIGHT: f64 = 0.12;
+/// The assumed time per prompt token before an endpoint has answered. This is within a factor of two of what a
+/// 70-billion-parameter model takes on one current accelerator. The first answer replaces it.
+const INITIAL_MS_PER_TOKEN: f64 = 0.03;
+/// Answers for fewer prompt tokens are not used as samples, because generation steps and the network take as
+/// long as reading the prompt.
+const MIN_SAMPLE_TOKENS: u32 = 2_000;
+/// The weight of a new sample in the moving average, which covers about eight answers: one second on a busy
+/// endpoint.
+const SAMPLE_WEIGHT: f64 = 0.12;
 
-/// How long an endpoint takes for a token of a prompt, learned from its answers.
+/// The time that an endpoint takes per prompt token, measured from its answers.
 ///
-/// It is the time to the first event over all tokens that were to be read before it, so that it
-/// contains what the endpoint generates meanwhile, and what it kept of prompts.
+/// A sample is the time to the first event divided by all prompt tokens that were to be read before it. It
+/// therefore includes the effects of concurrent generation and of cached prompts.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Pace {
+pub(crate) struct PromptPace {
     ms_per_token: Option<f64>,
 }
 
-impl Pace {
-    /// Takes in the time to the first event of an answer before which `tokens` were to be read.
-    pub(crate) fn answered(&mut self, tokens: u32, taken: Duration) {
-        if tokens < FEWEST_TOKENS {
+impl PromptPace {
+    /// Records the time to the first event of an answer before which `tokens` prompt tokens were to be read.
+    pub(crate) fn record_answer(&mut self, tokens: u32, taken: Duration) {
+        if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
         let sample = taken.as_secs_f64() * 1_000.0 / f64::from(tokens);
         let average = self.ms_per_token.unwrap_or(sample);
-        self.ms_per_token = Some(average + PACE_WEIGHT * (sample - average));
+        self.ms_per_token = Some(average + SAMPLE_WEIGHT * (sample - average));
     }
 
-    /// Returns the milliseconds for a token.
+    /// Returns the estimated milliseconds per prompt token.
     pub(crate) fn ms_per_token(self) -> f64 {
-        self.ms_per_token.unwrap_or(FIRST_PACE)
+        self.ms_per_token.unwrap_or(INITIAL_MS_PER_TOKEN)
     }
 }
--- a/crates/ploverwick_endpoints/src/reports.rs
+++ b/crates/ploverwick_endpoints/src/reports.rs
@@ -1,4 +1,4 @@
-//! What peers have under way, summed up by endpoint.
+//! Loads that peers reported, summed by endpoint.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,64 +8,64 @@
 
 use crate::Load;
 
-/// How long a peer's report of its requests counts.
-pub(crate) const AGE: Duration = Duration::from_millis(2_500);
+/// The age after which a peer's report expires.
+pub(crate) const MAX_REPORT_AGE: Duration = Duration::from_millis(2_500);
 
-/// What one peer has under way at endpoints.
+/// The load of one peer at each endpoint.
 #[derive(Debug)]
-pub(crate) struct Told {
-    /// When it said so.
+pub(crate) struct Report {
+    /// When the report was received.
     pub(crate) at: Moment,
     pub(crate) loads: HashMap<Arc<str>, Load>,
 }
 
-/// The last report of each peer, and their sums: a choice among endpoints asks for the load of each, and
-/// must not go through all peers for it.
+/// The latest report of each peer, and their sums. The sums are kept because endpoint selection reads the load of
+/// each endpoint and must not iterate over all peers.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    by_peer: HashMap<Arc<str>, Told>,
+    by_peer: HashMap<Arc<str>, Report>,
     sums: HashMap<Arc<str>, Load>,
-    /// When the last report came; the others are older.
-    last: Moment,
+    /// When the latest report of any peer was received.
+    last_received: Moment,
 }
 
 impl Reports {
-    /// Takes in a peer's report in place of its last one, and drops those that are too old.
-    pub(crate) fn add(&mut self, peer: Arc<str>, told: Told, now: Moment) {
-        self.last = now;
-        let old = self.by_peer.iter();
-        let old = old.filter(|(_, told)| now.since(told.at) > AGE);
-        let old: Vec<Arc<str>> = old.map(|(peer, _)| Arc::clone(peer)).collect();
-        for peer in &old {
+    /// Replaces a peer's report and removes expired reports.
+    pub(crate) fn add(&mut self, peer: Arc<str>, report: Report, now: Moment) {
+        self.last_received = now;
+        let expired = self.by_peer.iter();
+        let expired = expired.filter(|(_, report)| now.since(report.at) > MAX_REPORT_AGE);
+        let expired: Vec<Arc<str>> = expired.map(|(peer, _)| Arc::clone(peer)).collect();
+        for peer in &expired {
             self.remove(peer);
         }
         self.remove(&peer);
-        for (endpoint, load) in &told.loads {
+        for (endpoint, load) in &report.loads {
             let sum = self.sums.entry(Arc::clone(endpoint)).or_default();
             *sum = *sum + *load;
         }
-        self.by_peer.insert(peer, told);
+        self.by_peer.insert(peer, report);
     }
 
     fn remove(&mut self, peer: &str) {
-        let Some(told) = self.by_peer.remove(peer) else {
+        let Some(report) = self.by_peer.remove(peer) else {
             return;
         };
-        for (endpoint, load) in told.loads {
+        for (endpoint, load) in report.loads {
             let Some(sum) = self.sums.get_mut(&endpoint) else {
                 continue;
             };
-            *sum = sum.less(load);
+            *sum = sum.saturating_sub(load);
             if *sum == Load::default() {
                 self.sums.remove(&endpoint);
             }
         }
     }
 
-    /// Returns what all peers have under way at an endpoint. Where no peer reports any more nothing counts;
-    /// else a report counts until the first one after its age.
+    /// Returns the load of all peers at an endpoint. An expired report counts until the next report arrives, but
+    /// no report counts once the latest one has expired.
     pub(crate) fn load(&self, endpoint: &str, now: Moment) -> Load {
-        if now.since(self.last) > AGE {
+        if now.since(self.last_received) > MAX_REPORT_AGE {
             return Load::default();
         }
         self.sums.get(endpoint).copied().unwrap_or_default()
--- a/crates/ploverwick_endpoints/tests/send_patience.rs
+++ b/crates/ploverwick_endpoints/tests/answer_timeout.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_endpoints::patience;
+use ploverwick_endpoints::answer_timeout;
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
 fn expecting(ms: u64) -> Duration {
-    patience(OBJECTIVE, Duration::from_millis(ms))
+    answer_timeout(OBJECTIVE, Duration::from_millis(ms))
 }
 
 /// Half of the late answers of a quiet day were sends given up after one objective while the endpoint
@@ -22,6 +22,6 @@
 #[googletest::test]
 fn idle_must_answer() {
     expect_that!(expecting(20), eq(OBJECTIVE));
-    let soon = patience(Duration::ZERO, Duration::ZERO);
+    let soon = answer_timeout(Duration::ZERO, Duration::ZERO);
     expect_that!(soon, gt(Duration::ZERO));
 }
--- a/crates/ploverwick_endpoints/tests/budget_restart.rs
+++ b/crates/ploverwick_endpoints/tests/budget_restart.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_endpoints::{Budget, Census, Rate};
+use ploverwick_endpoints::{Budget, InstanceCount, RetryPolicy};
 use ploverwick_names::Moment;
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 
-const RATE: Rate = Rate {
+const RATE: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     allowance: 52.0,
     window: Duration::from_secs(10),
@@ -33,7 +33,7 @@
 /// One process of an instance; `None` while there is none.
 struct Life {
     budget: Budget,
-    census: Census,
+    instance_count: InstanceCount,
 }
 
 /// What happens to an instance.
@@ -75,7 +75,7 @@
     fn add(&mut self) {
         self.lives.push(Some(Life {
             budget: Budget::default(),
-            census: Census::default(),
+            instance_count: InstanceCount::default(),
         }));
         self.back_at.push(None);
         self.is_listed.push(true);
@@ -85,7 +85,7 @@
     fn hear(&mut self, at: u64) {
         let listed = self.is_listed.iter().filter(|listed| **listed).count();
         for life in self.lives.iter_mut().flatten() {
-            life.census.heard(listed, RATE, Moment(at));
+            life.instance_count.record(listed, RATE, Moment(at));
         }
     }
 
@@ -112,7 +112,7 @@
                 self.is_listed[index] = true;
                 self.lives[index] = Some(Life {
                     budget: Budget::default(),
-                    census: Census::default(),
+                    instance_count: InstanceCount::default(),
                 });
                 self.hear(at);
             }
@@ -130,11 +130,11 @@
         for number in 0..REQUESTS {
             let turn = usize::try_from(at / STEP).expect("a play is short") * REQUESTS + number;
             let life = &mut *running[turn % count];
-            life.budget.request(now);
+            life.budget.record_request(now);
             self.requests.push(at);
             for _ in 0..wanted {
-                let account = life.budget.repeat(RATE, &life.census, now);
-                if account.has_room() {
+                let balance = life.budget.try_retry(RATE, &life.instance_count, now);
+                if balance.allows_retry() {
                     self.repeats.push(at);
                 }
             }
--- a/crates/ploverwick_endpoints/tests/endpoint_choice.rs
+++ b/crates/ploverwick_endpoints/tests/endpoint_choice.rs
@@ -54,7 +54,7 @@
 fn full_endpoint_yields() {
     let mut fleet = fleet();
     for _ in 0..4 {
-        fleet.sent("a", 0);
+        fleet.record_sent("a", 0);
     }
     expect_that!(first(&fleet, Moment(0)).as_deref(), some(not(eq("a"))));
 }
@@ -67,7 +67,7 @@
         reading: 0,
     };
     let loads = HashMap::from([(Arc::from("a"), load)]);
-    fleet.report(Arc::from("peer"), loads, Moment(0));
+    fleet.record_report(Arc::from("peer"), loads, Moment(0));
     expect_that!(first(&fleet, Moment(10)).as_deref(), some(not(eq("a"))));
     // An old report counts no longer.
     expect_that!(first(&fleet, Moment(9_000)).as_deref(), some(eq("a")));
@@ -91,15 +91,15 @@
 fn failures_eject() {
     let mut fleet = fleet();
     for _ in 0..3 {
-        fleet.sent("a", 0);
-        fleet.ended("a", Outcome::Broken, Moment(0));
+        fleet.record_sent("a", 0);
+        fleet.record_ended("a", Outcome::Broken, Moment(0));
     }
     expect_that!(first(&fleet, Moment(1)).as_deref(), some(not(eq("a"))));
     // One trial at a time after the ejection, and its success readmits.
     expect_that!(first(&fleet, Moment(2_000)).as_deref(), some(eq("a")));
-    fleet.sent("a", 0);
+    fleet.record_sent("a", 0);
     expect_that!(first(&fleet, Moment(2_000)).as_deref(), some(not(eq("a"))));
-    fleet.ended("a", Outcome::Success, Moment(2_001));
+    fleet.record_ended("a", Outcome::Success, Moment(2_001));
     expect_that!(first(&fleet, Moment(2_002)).as_deref(), some(eq("a")));
 }
 
@@ -108,8 +108,8 @@
     let mut fleet = fleet();
     for id in ["a", "b", "c"] {
         for _ in 0..3 {
-            fleet.sent(id, 0);
-            fleet.ended(id, Outcome::Broken, Moment(0));
+            fleet.record_sent(id, 0);
+            fleet.record_ended(id, Outcome::Broken, Moment(0));
         }
     }
     expect_that!(first(&fleet, Moment(1)), some(anything()));
@@ -119,7 +119,7 @@
 fn slow_endpoint_yields() {
     let mut fleet = fleet();
     for (id, ms) in [("a", 400), ("b", 30), ("c", 30)] {
-        fleet.latency(id, 0, Duration::from_millis(ms));
+        fleet.record_latency(id, 0, Duration::from_millis(ms));
     }
     expect_that!(first(&fleet, Moment(0)).as_deref(), some(not(eq("a"))));
 }
@@ -127,9 +127,9 @@
 #[googletest::test]
 fn long_prompt_is_avoided() {
     let mut fleet = fleet();
-    fleet.sent("a", 9_000);
+    fleet.record_sent("a", 9_000);
     expect_that!(first(&fleet, Moment(0)).as_deref(), some(not(eq("a"))));
-    fleet.read("a", 9_000);
+    fleet.record_prompt_read("a", 9_000);
     expect_that!(first(&fleet, Moment(0)).as_deref(), some(eq("a")));
 }
 
--- a/crates/ploverwick_endpoints/tests/known_limits.rs
+++ b/crates/ploverwick_endpoints/tests/known_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_endpoints::{Change, Limit, Limits, Part, Told};
+use ploverwick_endpoints::{Change, Limit, LimitUpdate, Limits, Share};
 use ploverwick_names::Moment;
 
 const NOW: Moment = Moment(60_000);
@@ -21,9 +21,9 @@
 /// Limits of which one was named by an answer, with a part of it here.
 fn named() -> Limits {
     let mut limits = Limits::default();
-    let change = limits.answered(&endpoint(), Some(limit()), NOW, NOW);
-    assert_that!(change, eq(Change::Named(limit())));
-    limits.assign("i-a", Part::Sends { pause: PAUSE }, NOW);
+    let change = limits.record_answer(&endpoint(), Some(limit()), NOW, NOW);
+    assert_that!(change, eq(Change::Set(limit())));
+    limits.assign("i-a", Share::Sender { interval: PAUSE }, NOW);
     limits
 }
 
@@ -32,9 +32,9 @@
 fn older_answer_lifts_nothing() {
     let mut limits = named();
     let later = NOW + PAUSE;
-    let change = limits.answered(&endpoint(), None, NOW, later);
+    let change = limits.record_answer(&endpoint(), None, NOW, later);
     expect_that!(change, eq(Change::Unchanged));
-    let change = limits.answered(&endpoint(), None, later, later + PAUSE);
+    let change = limits.record_answer(&endpoint(), None, later, later + PAUSE);
     expect_that!(change, eq(Change::Lifted));
 }
 
@@ -42,17 +42,17 @@
 #[gtest]
 fn older_news_is_dropped() {
     let mut limits = named();
-    let told = |limit, age_ms| Told {
+    let told = |limit, age_ms| LimitUpdate {
         endpoint: endpoint(),
         limit,
         age_ms,
     };
     let now = NOW + PAUSE;
-    let change = limits.told(&told(None, 800), now);
+    let change = limits.apply_update(&told(None, 800), now);
     expect_that!(change, eq(Change::Unchanged));
-    let change = limits.told(&told(None, 100), now);
+    let change = limits.apply_update(&told(None, 100), now);
     expect_that!(change, eq(Change::Lifted));
-    let change = limits.told(&told(Some(limit()), 300), now);
+    let change = limits.apply_update(&told(Some(limit()), 300), now);
     expect_that!(change, eq(Change::Unchanged));
 }
 
@@ -63,7 +63,7 @@
     expect_that!(limits.wait("i-a", NOW), some(eq(PAUSE)));
     let next = NOW + PAUSE;
     expect_that!(limits.wait("i-a", next), none());
-    expect_that!(limits.sent("i-a", next), eq(true));
+    expect_that!(limits.record_send("i-a", next), eq(true));
     expect_that!(limits.wait("i-a", next), some(eq(PAUSE)));
 }
 
@@ -72,9 +72,9 @@
 fn ended_is_forgotten() {
     let mut limits = named();
     limits.remove("i-a");
-    limits.answered(&endpoint(), Some(limit()), NOW, NOW);
+    limits.record_answer(&endpoint(), Some(limit()), NOW, NOW);
     limits.sweep(|_| true, NOW);
-    expect_that!(limits.in_force(), eq(1));
+    expect_that!(limits.active_count(), eq(1));
     limits.sweep(|_| false, NOW);
-    expect_that!(limits.in_force(), eq(0));
+    expect_that!(limits.active_count(), eq(0));
 }
--- a/crates/ploverwick_endpoints/tests/late_heartbeat.rs
+++ b/crates/ploverwick_endpoints/tests/late_heartbeat.rs
@@ -13,31 +13,31 @@
 fn late_after_leave() {
     let mut heartbeats = Heartbeats::default();
     let id: Arc<str> = Arc::from("i-a");
-    expect_true!(heartbeats.heard(&id, beat(0, 5), false));
-    heartbeats.left("i-a");
-    expect_false!(heartbeats.heard(&id, beat(0, 4), false));
-    expect_false!(heartbeats.heard(&id, beat(0, 5), false));
-    expect_true!(heartbeats.heard(&id, beat(0, 6), false));
+    expect_true!(heartbeats.record(&id, beat(0, 5), false));
+    heartbeats.record_departure("i-a");
+    expect_false!(heartbeats.record(&id, beat(0, 4), false));
+    expect_false!(heartbeats.record(&id, beat(0, 5), false));
+    expect_true!(heartbeats.record(&id, beat(0, 6), false));
 }
 
 #[gtest]
 fn older_one_lists() {
     let mut heartbeats = Heartbeats::default();
     let id: Arc<str> = Arc::from("i-a");
-    expect_true!(heartbeats.heard(&id, beat(0, 5), false));
-    expect_false!(heartbeats.heard(&id, beat(0, 4), true));
-    expect_true!(heartbeats.heard(&id, beat(0, 4), false));
+    expect_true!(heartbeats.record(&id, beat(0, 5), false));
+    expect_false!(heartbeats.record(&id, beat(0, 4), true));
+    expect_true!(heartbeats.record(&id, beat(0, 4), false));
 }
 
 #[gtest]
 fn second_life_counts_anew() {
     let mut heartbeats = Heartbeats::default();
     let id: Arc<str> = Arc::from("i-a");
-    expect_true!(heartbeats.heard(&id, beat(100, 9), false));
-    expect_true!(heartbeats.heard(&id, beat(200, 1), true));
-    expect_false!(heartbeats.heard(&id, beat(100, 10), true));
-    expect_false!(heartbeats.heard(&id, beat(100, 10), false));
-    heartbeats.left("i-a");
-    expect_false!(heartbeats.heard(&id, beat(100, 11), false));
-    expect_true!(heartbeats.heard(&id, beat(300, 1), false));
+    expect_true!(heartbeats.record(&id, beat(100, 9), false));
+    expect_true!(heartbeats.record(&id, beat(200, 1), true));
+    expect_false!(heartbeats.record(&id, beat(100, 10), true));
+    expect_false!(heartbeats.record(&id, beat(100, 10), false));
+    heartbeats.record_departure("i-a");
+    expect_false!(heartbeats.record(&id, beat(100, 11), false));
+    expect_true!(heartbeats.record(&id, beat(300, 1), false));
 }
--- a/crates/ploverwick_endpoints/tests/limited_fleet/mod.rs
+++ b/crates/ploverwick_endpoints/tests/limited_fleet/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_endpoints::{Limit, Limits, Part, Told};
+use ploverwick_endpoints::{Limit, LimitUpdate, Limits, Share};
 use ploverwick_names::Moment;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -92,20 +92,20 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives {
+    RequestArrived {
         endpoint: usize,
         from: usize,
         sent: u64,
         life: u64,
     },
-    Answered {
+    AnswerReceived {
         endpoint: usize,
         to: usize,
         sent: u64,
         life: u64,
         limit: Option<u64>,
     },
-    Told {
+    UpdateReceived {
         to: usize,
         news: usize,
     },
@@ -121,7 +121,7 @@
     endpoints: Vec<Endpoint>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
-    news: Vec<Told>,
+    news: Vec<LimitUpdate>,
     seen: Seen,
     asked: u64,
     refused: u64,
@@ -248,7 +248,7 @@
                 return;
             };
             match event {
-                Event::Arrives {
+                Event::RequestArrived {
                     endpoint,
                     from,
                     sent,
@@ -256,7 +256,7 @@
                 } => {
                     self.arrives(endpoint, from, sent, life);
                 }
-                Event::Answered {
+                Event::AnswerReceived {
                     endpoint,
                     to,
                     sent,
@@ -268,7 +268,7 @@
                         self.answered(endpoint, to, sent, limit);
                     }
                 }
-                Event::Told { to, news } => self.told(to, news),
+                Event::UpdateReceived { to, news } => self.told(to, news),
             }
         }
     }
@@ -298,7 +298,7 @@
         let after = self.random.random_range(50..400);
         self.push(
             after,
-            Event::Answered {
+            Event::AnswerReceived {
                 endpoint: number,
                 to: from,
                 sent,
@@ -316,24 +316,24 @@
         let name = Arc::clone(&self.endpoints[number].name);
         let limit = limit.map(|limit| Limit::per_second(limit as f64 / 1_000.0));
         let limits = &mut self.instances[to].limits;
-        let change = limits.answered(&name, limit, Moment(sent), now);
+        let change = limits.record_answer(&name, limit, Moment(sent), now);
         if change == ploverwick_endpoints::Change::Unchanged {
             return;
         }
-        let told = limits.tell(&name, now);
+        let told = limits.update(&name, now);
         self.assign(to, &name);
         if let Some(told) = told {
             self.tell(to, told);
         }
     }
 
-    fn tell(&mut self, from: usize, told: Told) {
+    fn tell(&mut self, from: usize, told: LimitUpdate) {
         self.news.push(told);
         let news = self.news.len() - 1;
         for to in 0..self.instances.len() {
             if to != from && self.random.random::<f64>() >= LOST {
                 let after = self.random.random_range(1..30);
-                self.push(after, Event::Told { to, news });
+                self.push(after, Event::UpdateReceived { to, news });
             }
         }
     }
@@ -347,7 +347,7 @@
         }
         let told = self.news[news].clone();
         let now = self.moment();
-        let change = self.instances[to].limits.told(&told, now);
+        let change = self.instances[to].limits.apply_update(&told, now);
         if change != ploverwick_endpoints::Change::Unchanged {
             self.assign(to, &told.endpoint);
         }
@@ -357,7 +357,7 @@
         let now = self.moment();
         for from in 0..self.instances.len() {
             let span = Duration::from_millis(AGAIN);
-            for told in self.instances[from].limits.news(span, now) {
+            for told in self.instances[from].limits.recent_updates(span, now) {
                 self.tell(from, told);
             }
         }
@@ -384,11 +384,11 @@
         if !has_just_started || self.instances[other].down_until > self.now {
             return;
         }
-        for told in self.instances[other].limits.all(self.moment()) {
+        for told in self.instances[other].limits.updates(self.moment()) {
             self.news.push(told);
             let news = self.news.len() - 1;
             if self.random.random::<f64>() >= LOST {
-                self.push(5, Event::Told { to: number, news });
+                self.push(5, Event::UpdateReceived { to: number, news });
             }
         }
     }
@@ -396,25 +396,25 @@
     /// Gives an instance its part of a limit, by the others that it believes to run.
     fn assign(&mut self, number: usize, endpoint: &str) {
         let now = self.moment();
-        let Some(limit) = self.instances[number].limits.named(endpoint) else {
+        let Some(limit) = self.instances[number].limits.get(endpoint) else {
             return;
         };
         let part = self.part(number, endpoint, limit);
         self.instances[number].limits.assign(endpoint, part, now);
     }
 
-    fn part(&self, number: usize, endpoint: &str, limit: Limit) -> Part {
+    fn part(&self, number: usize, endpoint: &str, limit: Limit) -> Share {
         if self.way == Way::Even {
             let rate: f64 = limit.to_string().parse().unwrap_or_default();
-            let pause = self.instances.len() as f64 / rate.max(0.001);
-            return Part::Sends {
-                pause: Duration::from_secs_f64(pause),
+            let interval = self.instances.len() as f64 / rate.max(0.001);
+            return Share::Sender {
+                interval: Duration::from_secs_f64(interval),
             };
         }
         let domain = self.instances[number].domain;
         let place: usize = endpoint[2..].parse().unwrap_or_default();
         if place % self.series.domains != domain {
-            return Part::NONE;
+            return Share::NONE;
         }
         let believed = |other: usize| {
             other == number || self.instances[other].down_until < self.now + BELIEVED
@@ -422,7 +422,7 @@
         let near = (domain..self.instances.len()).step_by(self.series.domains);
         let near = near.filter(|other| believed(*other));
         let near: Vec<&str> = near.map(|other| &*self.names[other]).collect();
-        Part::of(limit, endpoint, &self.names[number], &near)
+        Share::of(limit, endpoint, &self.names[number], &near)
     }
 
     /// A client asks an instance, which sends to an endpoint of its failure domain, or to any.
@@ -451,13 +451,13 @@
         let chosen = near[self.random.random_range(0..near.len())];
         let name = Arc::clone(&self.endpoints[chosen].name);
         let instance = &mut self.instances[number];
-        instance.limits.sent(&name, now);
+        instance.limits.record_send(&name, now);
         let life = instance.began;
         let after = self.random.random_range(1..20);
         let sent = self.now;
         self.push(
             after,
-            Event::Arrives {
+            Event::RequestArrived {
                 endpoint: chosen,
                 from: number,
                 sent,
--- a/crates/ploverwick_endpoints/tests/many_endpoints.rs
+++ b/crates/ploverwick_endpoints/tests/many_endpoints.rs
@@ -70,12 +70,12 @@
     }
     for number in (0..ENDPOINTS).step_by(7) {
         for _ in 0..12 {
-            fleet.sent(&id(number), 0);
-            fleet.ended(&id(number), Outcome::Broken, now);
+            fleet.record_sent(&id(number), 0);
+            fleet.record_ended(&id(number), Outcome::Broken, now);
         }
     }
     for peer in 0..PEERS {
-        fleet.report(Arc::from(format!("p{peer}")), loads(random), now);
+        fleet.record_report(Arc::from(format!("p{peer}")), loads(random), now);
     }
     fleet
 }
@@ -108,8 +108,8 @@
     fleet.put(entry(2));
     let fail = |fleet: &mut Fleet, number| {
         for _ in 0..12 {
-            fleet.sent(&id(number), 0);
-            fleet.ended(&id(number), Outcome::Broken, now);
+            fleet.record_sent(&id(number), 0);
+            fleet.record_ended(&id(number), Outcome::Broken, now);
         }
     };
     fail(&mut fleet, 1);
@@ -131,18 +131,18 @@
             now = now + LAPSED;
         }
         let peer = format!("p{}", random.random_range(0..PEERS));
-        fleet.report(Arc::from(peer), loads(&mut random), now);
+        fleet.record_report(Arc::from(peer), loads(&mut random), now);
     }
     // What came before the last lapse counts no more.
     now = now + LAPSED;
     let last = loads(&mut random);
-    fleet.report(Arc::from("p0"), last.clone(), now);
+    fleet.record_report(Arc::from("p0"), last.clone(), now);
     for number in 0..ENDPOINTS {
         let expected = last.get(&id(number)).copied().unwrap_or_default();
-        expect_that!(fleet.heard_load(&id(number), now), eq(expected));
+        expect_that!(fleet.reported_load(&id(number), now), eq(expected));
     }
     let later = now + LAPSED;
-    let busy = (0..ENDPOINTS).filter(|n| fleet.heard_load(&id(*n), later) != Load::default());
+    let busy = (0..ENDPOINTS).filter(|n| fleet.reported_load(&id(*n), later) != Load::default());
     expect_that!(busy.count(), eq(0));
 }
 
--- a/crates/ploverwick_endpoints/tests/retry_budget.rs
+++ b/crates/ploverwick_endpoints/tests/retry_budget.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_endpoints::{Budget, Census, Rate};
+use ploverwick_endpoints::{Budget, InstanceCount, RetryPolicy};
 use ploverwick_names::Moment;
 
-const RATE: Rate = Rate {
+const RATE: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     allowance: 60.0,
     window: Duration::from_secs(10),
@@ -16,18 +16,22 @@
 const LATER: Moment = Moment(20_000);
 
 /// Returns what an instance knows that has known for long that there are so many.
-fn shared_by(instances: usize) -> Census {
-    let mut census = Census::default();
-    census.heard(instances, RATE, Moment(0));
-    census
+fn shared_by(instances: usize) -> InstanceCount {
+    let mut instance_count = InstanceCount::default();
+    instance_count.record(instances, RATE, Moment(0));
+    instance_count
 }
 
 #[googletest::test]
 fn allowance_is_shared() {
-    let census = shared_by(6);
+    let instance_count = shared_by(6);
     let mut budget = Budget::default();
     let granted = (0..100)
-        .filter(|_| budget.repeat(RATE, &census, LATER).has_room())
+        .filter(|_| {
+            budget
+                .try_retry(RATE, &instance_count, LATER)
+                .allows_retry()
+        })
         .count();
     expect_that!(granted, le(10));
     expect_that!(granted, gt(5));
@@ -35,16 +39,16 @@
 
 #[googletest::test]
 fn requests_earn_repeats() {
-    let census = shared_by(6);
+    let instance_count = shared_by(6);
     let mut budget = Budget::default();
     for _ in 0..500 {
-        budget.request(LATER);
+        budget.record_request(LATER);
     }
     let granted = (0..500)
         .filter(|_| {
             budget
-                .repeat(RATE, &census, LATER + Duration::from_millis(100))
-                .has_room()
+                .try_retry(RATE, &instance_count, LATER + Duration::from_millis(100))
+                .allows_retry()
         })
         .count();
     expect_that!(granted, le(110));
@@ -55,14 +59,17 @@
 #[googletest::test]
 fn every_window_holds() {
     let mut budget = Budget::default();
-    let census = shared_by(1);
+    let instance_count = shared_by(1);
     let mut granted: Vec<u64> = Vec::new();
     for at in (0..60_000).step_by(50) {
         let busy = (at / 7_000) % 2 == 0;
         if busy {
-            budget.request(Moment(at));
+            budget.record_request(Moment(at));
         }
-        if budget.repeat(RATE, &census, Moment(at)).has_room() {
+        if budget
+            .try_retry(RATE, &instance_count, Moment(at))
+            .allows_retry()
+        {
             granted.push(at);
         }
     }
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/demand.rs
@@ -39,15 +39,18 @@
         .filter(|entry| entry.domain == *domain && entry.state == EndpointState::Ready)
         .map(|entry| Site {
             endpoint: Arc::clone(&entry.id),
-            wait: fleet.wait(&entry.id, 0, now).unwrap_or_default(),
+            wait: fleet.expected_wait(&entry.id, 0, now).unwrap_or_default(),
         })
         .collect();
     // An adapter at an endpoint that is left out serves nobody.
-    if sites.iter().any(|site| !fleet.is_out(&site.endpoint, now)) {
-        sites.retain(|site| !fleet.is_out(&site.endpoint, now));
+    if sites
+        .iter()
+        .any(|site| !fleet.is_ejected(&site.endpoint, now))
+    {
+        sites.retain(|site| !fleet.is_ejected(&site.endpoint, now));
     }
     // One that names a limit is in need, and takes a few requests a second whatever it holds.
-    let has_limit = |site: &Site| state.limits.named(&site.endpoint).is_some();
+    let has_limit = |site: &Site| state.limits.get(&site.endpoint).is_some();
     if !sites.iter().all(has_limit) {
         sites.retain(|site| !has_limit(site));
     }
--- a/crates/ploverwick_gateway/src/controllers/limits.rs
+++ b/crates/ploverwick_gateway/src/controllers/limits.rs
@@ -6,7 +6,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-use ploverwick_endpoints::{Change, Limit, Part, Told};
+use ploverwick_endpoints::{Change, Limit, LimitUpdate, Share};
 use ploverwick_names::Moment;
 use ploverwick_platform::answer::{self, Head, Statement};
 
@@ -33,11 +33,11 @@
     };
     let now = shared.now();
     let mut state = shared.state();
-    let change = state.limits.answered(endpoint, limit, sent, now);
+    let change = state.limits.record_answer(endpoint, limit, sent, now);
     if change == Change::Unchanged {
         return;
     }
-    let told = state.limits.tell(endpoint, now);
+    let told = state.limits.update(endpoint, now);
     take_effect(shared, &mut state, endpoint, now);
     drop(state);
     log(endpoint, change, &format_args!("answer id={id}"));
@@ -47,7 +47,7 @@
 }
 
 /// Takes in what another instance tells.
-pub(crate) fn told(shared: &Shared, list: &[Told], from: IpAddr) {
+pub(crate) fn told(shared: &Shared, list: &[LimitUpdate], from: IpAddr) {
     let now = shared.now();
     let mut state = shared.state();
     let mut changes = Vec::new();
@@ -56,7 +56,7 @@
         if state.fleet.entry(&told.endpoint).is_none() {
             continue;
         }
-        let change = state.limits.told(told, now);
+        let change = state.limits.apply_update(told, now);
         if change != Change::Unchanged {
             take_effect(shared, &mut state, &told.endpoint, now);
             changes.push((&told.endpoint, change));
@@ -75,11 +75,11 @@
 
 /// Gives this instance its part of the limit of one endpoint.
 fn take_effect(shared: &Shared, state: &mut State, endpoint: &str, now: Moment) {
-    if let Some(limit) = state.limits.named(endpoint) {
+    if let Some(limit) = state.limits.get(endpoint) {
         let part = part(shared, state, endpoint, limit, now);
         state.limits.assign(endpoint, part, now);
     }
-    metrics::endpoint_limits(state.limits.in_force());
+    metrics::endpoint_limits(state.limits.active_count());
 }
 
 /// Gives this instance its part of each limit, by the instances that it hears now.
@@ -92,28 +92,28 @@
         let part = part(shared, state, endpoint, limit, now);
         (Arc::clone(endpoint), part)
     });
-    let parts: Vec<(Arc<str>, Part)> = parts.collect();
+    let parts: Vec<(Arc<str>, Share)> = parts.collect();
     for (endpoint, part) in parts {
         state.limits.assign(&endpoint, part, now);
     }
 }
 
-fn part(shared: &Shared, state: &State, endpoint: &str, limit: Limit, now: Moment) -> Part {
+fn part(shared: &Shared, state: &State, endpoint: &str, limit: Limit, now: Moment) -> Share {
     // Who does not know the others must not take itself for the only one.
     if state.listing == Listing::Unread {
-        return Part::NONE;
+        return Share::NONE;
     }
     let Some(entry) = state.fleet.entry(endpoint) else {
-        return Part::NONE;
+        return Share::NONE;
     };
     let senders = state.senders(&entry.domain, &shared.settings, now);
-    Part::of(limit, endpoint, &shared.settings.instance, &senders)
+    Share::of(limit, endpoint, &shared.settings.instance, &senders)
 }
 
 fn log(endpoint: &str, change: Change, by: &dyn std::fmt::Display) {
     let limit = match change {
         Change::Unchanged => return,
-        Change::Named(limit) => limit.to_string(),
+        Change::Set(limit) => limit.to_string(),
         Change::Lifted => "-".to_owned(),
     };
     spdlog::info!(
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/roster.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_endpoints::{Absence, Entry, Heartbeat, Heartbeats, State as EndpointState};
+use ploverwick_endpoints::{Absences, Entry, Heartbeat, Heartbeats, State as EndpointState};
 use ploverwick_platform::store::{Error, Record};
 use ploverwick_platform::{ROSTER, roster};
 use ploverwick_topics::Position;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Follower {
     shared: Arc<Shared>,
-    absence: Absence,
+    absences: Absences,
     /// The lines that were told to the peers of this failure domain.
     told: HashMap<Arc<str>, Entry>,
     /// The newest heartbeat of each endpoint by the platform's name for it: an older one may arrive after
@@ -65,7 +65,7 @@
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let mut follower = Follower {
         shared: Arc::clone(&shared),
-        absence: Absence::default(),
+        absences: Absences::default(),
         told: HashMap::new(),
         heartbeats: Heartbeats::default(),
     };
@@ -106,12 +106,12 @@
                     shared.store.era()
                 );
                 // The restored list may lack endpoints that are still running; they write their entries again.
-                follower.absence.store_away();
+                follower.absences.record_store_failure();
                 next = None;
             }
             Err(error) => {
                 outage.fails(&error);
-                follower.absence.store_away();
+                follower.absences.record_store_failure();
                 shared.store_away.send_replace(true);
                 if shared.state().has_roster {
                     until_back(&shared).await;
@@ -128,14 +128,14 @@
         let now = self.shared.now();
         match news {
             News::Asking | News::Told { .. } | News::ToldWhole { .. } => return,
-            News::Away => return self.absence.store_away(),
+            News::Away => return self.absences.record_store_failure(),
             News::Past { records } => return self.recall(records),
             News::Whole { records } => {
-                self.absence.store_read(now);
+                self.absences.record_store_read(now);
                 self.replace(records);
             }
             News::Next { records, .. } => {
-                self.absence.store_read(now);
+                self.absences.record_store_read(now);
                 self.take(records);
             }
         }
@@ -147,13 +147,13 @@
     fn recall(&mut self, records: &[Record]) {
         for record in records {
             let Some(value) = &record.value else {
-                self.heartbeats.left(&record.key);
+                self.heartbeats.record_departure(&record.key);
                 continue;
             };
             // What cannot be read is logged when the list itself is taken in.
             if let Ok(entry) = roster::entry(&record.key, value) {
                 let instance = Arc::from(&*record.key);
-                self.heartbeats.heard(&instance, heartbeat(&entry), true);
+                self.heartbeats.record(&instance, heartbeat(&entry), true);
             }
         }
     }
@@ -167,7 +167,7 @@
         let absent: Vec<Arc<str>> = absent.collect();
         drop(state);
         for id in absent {
-            self.heartbeats.left(roster::instance(&id));
+            self.heartbeats.record_departure(roster::instance(&id));
             self.miss(&id);
         }
         spdlog::info!("endpoints_read count={}", listed.len());
@@ -194,15 +194,15 @@
         let is_listed = self.shared.state().fleet.entry(&entry.id).is_some();
         if !self
             .heartbeats
-            .heard(&instance, heartbeat(&entry), is_listed)
+            .record(&instance, heartbeat(&entry), is_listed)
         {
             spdlog::info!("heartbeat_old endpoint={} beat={}", entry.id, entry.beat);
             return;
         }
-        self.absence.seen(&entry.id);
+        self.absences.record_listed(&entry.id);
         for earlier in lives(&self.shared, &instance) {
             if earlier != entry.id {
-                self.absence.seen(&earlier);
+                self.absences.record_listed(&earlier);
                 remove(&self.shared, &earlier);
             }
         }
@@ -226,7 +226,7 @@
     }
 
     fn leave(&mut self, instance: &str) {
-        self.heartbeats.left(instance);
+        self.heartbeats.record_departure(instance);
         for id in lives(&self.shared, instance) {
             self.miss(&id);
         }
@@ -251,14 +251,14 @@
     /// An endpoint is missing: it is gone, or the store has forgotten it in an outage.
     fn miss(&mut self, id: &Arc<str>) {
         let now = self.shared.now();
-        if self.absence.miss(id, now) {
+        if self.absences.record_missing(id, now) {
             remove(&self.shared, id);
         }
     }
 
     fn settle(&mut self) {
         let now = self.shared.now();
-        for id in self.absence.due(now) {
+        for id in self.absences.remove_expired(now) {
             remove(&self.shared, &id);
         }
     }
--- a/crates/ploverwick_gateway/src/filters/admit.rs
+++ b/crates/ploverwick_gateway/src/filters/admit.rs
@@ -98,5 +98,5 @@
     let now = shared.now();
     let mut state = shared.state();
     let budget = state.budgets.entry(Arc::clone(service)).or_default();
-    budget.request(now);
+    budget.record_request(now);
 }
--- a/crates/ploverwick_gateway/src/filters/attempt.rs
+++ b/crates/ploverwick_gateway/src/filters/attempt.rs
@@ -6,7 +6,7 @@
 use http::{Response, StatusCode};
 use ploverwick_adapters::Since;
 use ploverwick_codes::Code;
-use ploverwick_endpoints::{Outcome, State as EndpointState, patience};
+use ploverwick_endpoints::{Outcome, State as EndpointState, answer_timeout};
 use ploverwick_names::Moment;
 use tokio::time::Instant;
 
@@ -254,7 +254,7 @@
     if !may_run_again(task, history.runs + 1) {
         return last;
     }
-    let patience = patience(task.route.objective, target.expected);
+    let patience = answer_timeout(task.route.objective, target.expected);
     (Instant::now() + patience).min(last)
 }
 
@@ -321,7 +321,7 @@
             task.call.prompt_tokens,
             target.load.requests,
             target.load.reading,
-            shared.state().limits.named(&target.entry.id),
+            shared.state().limits.get(&target.entry.id),
             state,
             history.sent + 1,
             status.as_u16(),
--- a/crates/ploverwick_gateway/src/filters/flight.rs
+++ b/crates/ploverwick_gateway/src/filters/flight.rs
@@ -32,8 +32,8 @@
         let now = shared.now();
         let mut state = shared.state();
         let ahead = state.fleet.load(endpoint, now).reading;
-        state.fleet.sent(endpoint, prompt);
-        if state.limits.sent(endpoint, now) {
+        state.fleet.record_sent(endpoint, prompt);
+        if state.limits.record_send(endpoint, now) {
             metrics::limited_send();
         }
         if let Some(copy) = &copy {
@@ -59,10 +59,10 @@
     pub(crate) fn latency(&mut self, taken: Duration) {
         let mut state = self.shared.state();
         let tokens = self.ahead.saturating_add(self.reading);
-        state.fleet.latency(&self.endpoint, tokens, taken);
+        state.fleet.record_latency(&self.endpoint, tokens, taken);
         state
             .fleet
-            .read(&self.endpoint, std::mem::take(&mut self.reading));
+            .record_prompt_read(&self.endpoint, std::mem::take(&mut self.reading));
     }
 }
 
@@ -70,8 +70,8 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.read(&self.endpoint, self.reading);
-        state.fleet.ended(&self.endpoint, self.outcome, now);
+        state.fleet.record_prompt_read(&self.endpoint, self.reading);
+        state.fleet.record_ended(&self.endpoint, self.outcome, now);
         if let Some(copy) = &self.copy {
             state.count_use(&self.endpoint, copy, false);
         }
--- a/crates/ploverwick_gateway/src/filters/place.rs
+++ b/crates/ploverwick_gateway/src/filters/place.rs
@@ -125,7 +125,7 @@
 /// Returns how long limits and pauses prevent this instance from sending to any ready endpoint of the task's service;
 /// `None` if it may send to one now, or if there is no such endpoint.
 fn least_wait(state: &State, task: &Task, now: Moment) -> Option<Duration> {
-    if state.limits.in_force() == 0 && state.pauses.is_empty() {
+    if state.limits.active_count() == 0 && state.pauses.is_empty() {
         return None;
     }
     let of_service = state
@@ -171,7 +171,10 @@
     let entry = state.fleet.entry(&id).expect("it was ranked").clone();
     let load = state.fleet.load(&id, now);
     let prompt = task.call.prompt_tokens;
-    let expected = state.fleet.wait(&id, prompt, now).unwrap_or_default();
+    let expected = state
+        .fleet
+        .expected_wait(&id, prompt, now)
+        .unwrap_or_default();
     Ok(Target {
         entry,
         copy: None,
@@ -240,9 +243,12 @@
     let entry = state.fleet.entry(&id).expect("it was ranked").clone();
     let fill = state.fleet.fill(&id, now).unwrap_or(0.0);
     let load = state.fleet.load(&id, now);
-    let others = state.fleet.wait(&id, 0, now).unwrap_or_default();
+    let others = state.fleet.expected_wait(&id, 0, now).unwrap_or_default();
     let prompt = task.call.prompt_tokens;
-    let expected = state.fleet.wait(&id, prompt, now).unwrap_or_default();
+    let expected = state
+        .fleet
+        .expected_wait(&id, prompt, now)
+        .unwrap_or_default();
     let is_crowded = fill > CROWDED_FILL || others > task.route.objective.mul_f64(CROWDED);
     let is_older = held.version != wanted.version;
     let replaced = state.directory.replaced(&held);
@@ -293,7 +299,10 @@
     now: Moment,
 ) -> bool {
     let prompt = task.call.prompt_tokens;
-    let expected = state.fleet.wait(endpoint, prompt, now).unwrap_or_default();
+    let expected = state
+        .fleet
+        .expected_wait(endpoint, prompt, now)
+        .unwrap_or_default();
     let since = state.directory.replaced(older);
     since.is_none_or(|since| supersession(shared).leaves_time(since, expected, now))
 }
--- a/crates/ploverwick_gateway/src/filters/seek.rs
+++ b/crates/ploverwick_gateway/src/filters/seek.rs
@@ -34,7 +34,7 @@
     let domains: Vec<Domain<'_>> = names
         .filter_map(|name| {
             let waiting = state.waiting_in(name, &shared.settings, now)?;
-            let endpoints = state.fleet.usable(&task.service, name, now);
+            let endpoints = state.fleet.count_usable(&task.service, name, now);
             Some(Domain {
                 name,
                 endpoints,
--- a/crates/ploverwick_gateway/src/filters/terms.rs
+++ b/crates/ploverwick_gateway/src/filters/terms.rs
@@ -45,7 +45,9 @@
     let sharers = shared.sharers(&state);
     for limit in &found.limits {
         let (subject, column) = (&limit.subject, &limit.column);
-        let taken = state.rates.share(subject, column, limit.rate, sharers, now);
+        let taken = state
+            .rates
+            .take_shared(subject, column, limit.rate, sharers, now);
         if let Err(wait) = taken {
             let detail = format!("adapter {key}, limit {} a second", limit.rate);
             return Err(Reply::new(Code::LimitReached, detail).retry_after(wait));
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -119,7 +119,7 @@
         let counts = load.counts();
         (load.endpoint, counts)
     });
-    state.fleet.report(instance, loads.collect(), now);
+    state.fleet.record_report(instance, loads.collect(), now);
 }
 
 /// Takes in the requests of all instances at endpoints.
@@ -128,7 +128,7 @@
     let mut state = shared.state();
     for load in loads {
         let counts = load.counts();
-        state.fleet.total(load.endpoint, counts, now);
+        state.fleet.record_total(load.endpoint, counts, now);
     }
 }
 
--- a/crates/ploverwick_gateway/src/mail.rs
+++ b/crates/ploverwick_gateway/src/mail.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 
 use ploverwick_adapters::{Copy, Key, Need};
-use ploverwick_endpoints::{Entry, Told as ToldLimit};
+use ploverwick_endpoints::{Entry, LimitUpdate};
 use ploverwick_names::Moment;
 use ploverwick_quarantine::PARTS;
 use ploverwick_quota::{Grant, Lease};
@@ -165,7 +165,7 @@
     /// Asks which limits of endpoints the receiver knows.
     AskEndpointLimits,
     /// The limits of endpoints.
-    EndpointLimits(Vec<ToldLimit>),
+    EndpointLimits(Vec<LimitUpdate>),
     /// Digests of all crashes that the sender counts against requests; whoever has others tells what
     /// differs, and, if it was asked, its own digests.
     QuarantineDigests { digests: [u64; PARTS], asks: bool },
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ploverwick_adapters::Terms;
-use ploverwick_endpoints::Rate;
+use ploverwick_endpoints::RetryPolicy;
 use ploverwick_limits::Sharers;
 use ploverwick_names::Moment;
 use ploverwick_platform::settings::Settings;
@@ -215,9 +215,9 @@
         let now = self.now();
         let mut state = self.state();
         let account = state.repeat(service, self.repeat_rate(), now);
-        let instances = state.census.most(self.repeat_rate(), now);
+        let instances = state.census.max_in_window(self.repeat_rate(), now);
         drop(state);
-        let is_granted = account.has_room();
+        let is_granted = account.allows_retry();
         metrics::repeat(is_granted);
         if self.lines.allow(now) {
             spdlog::info!(
@@ -240,28 +240,28 @@
             let instances = state.peers.len() + 1;
             state
                 .census
-                .heard(instances, self.repeat_rate(), self.now());
+                .record(instances, self.repeat_rate(), self.now());
         }
     }
 
     /// Returns the largest number of instances that were listed lately; `None` until this one was among them.
     pub(crate) fn listed(&self, state: &State) -> Option<usize> {
-        state.census.most(self.repeat_rate(), self.now())
+        state.census.max_in_window(self.repeat_rate(), self.now())
     }
 
     /// Returns how many instances share what is bounded over all of them, as far as that is proven:
     /// what one spent that has just left still counts.
     pub(crate) fn sharers(&self, state: &State) -> Sharers {
         let most = self.listed(state);
-        match (state.census.since(), most) {
+        match (state.census.known_since(), most) {
             (Some(since), Some(count)) => Sharers::Known { count, since },
             (None, _) | (_, None) => Sharers::Unknown,
         }
     }
 
     /// Returns the bound on repeats.
-    fn repeat_rate(&self) -> Rate {
-        Rate {
+    fn repeat_rate(&self) -> RetryPolicy {
+        RetryPolicy {
             ratio: self.settings.repeat_ratio,
             allowance: self.settings.repeat_allowance,
             window: self.settings.repeat_window,
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -7,9 +7,9 @@
 
 use ploverwick_adapters::{Copy, Directory, Horizon, Pace, Placer, Tenure, Terms};
 use ploverwick_endpoints::{
-    Account, Budget, Census, Departures, Entry, Fleet, Held, Limits, Pauses, Rate,
+    Balance, Budget, Departures, Entry, Fleet, Held, InstanceCount, Limits, Pauses, RetryPolicy,
 };
-use ploverwick_limits::{Past, Rates};
+use ploverwick_limits::{PriorUse, RateLimiter};
 use ploverwick_names::Moment;
 use ploverwick_platform::settings::Settings;
 use ploverwick_quarantine::{Breaks, Quarantine};
@@ -86,7 +86,7 @@
     pub(crate) has_table: bool,
     /// The operators' table; `None` until one is published.
     pub(crate) table: Option<Arc<Table>>,
-    pub(crate) rates: Rates,
+    pub(crate) rates: RateLimiter,
     pub(crate) fleet: Fleet,
     /// The limits that endpoints in need have named.
     pub(crate) limits: Limits,
@@ -109,7 +109,7 @@
     pub(crate) base_loads: Pace,
     pub(crate) budgets: HashMap<Arc<str>, Budget>,
     /// The instances that share what is bounded over all of them.
-    pub(crate) census: Census,
+    pub(crate) census: InstanceCount,
     pub(crate) peers: HashMap<Arc<str>, Peer>,
     /// The instances of this failure domain that left, and when: they may start again while the store is
     /// away, and then know nobody.
@@ -140,10 +140,10 @@
             roster_told: None,
             has_table: false,
             table: None,
-            rates: Rates::new(if settings.first_start {
-                Past::None
+            rates: RateLimiter::new(if settings.first_start {
+                PriorUse::None
             } else {
-                Past::Unproven
+                PriorUse::Unknown
             }),
             fleet: Fleet::default(),
             limits: Limits::default(),
@@ -162,7 +162,7 @@
                 Pace::after_others(now)
             },
             budgets: HashMap::new(),
-            census: Census::default(),
+            census: InstanceCount::default(),
             peers: HashMap::new(),
             former: Vec::new(),
             listing: Listing::Unread,
@@ -303,9 +303,9 @@
     }
 
     /// Takes a repeat of a request to a service out of the budget, and returns what that rests on.
-    pub(crate) fn repeat(&mut self, service: &Arc<str>, rate: Rate, now: Moment) -> Account {
+    pub(crate) fn repeat(&mut self, service: &Arc<str>, rate: RetryPolicy, now: Moment) -> Balance {
         let budget = self.budgets.entry(Arc::clone(service)).or_default();
-        budget.repeat(rate, &self.census, now)
+        budget.try_retry(rate, &self.census, now)
     }
 }
 
--- a/crates/ploverwick_gateway/src/tell.rs
+++ b/crates/ploverwick_gateway/src/tell.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use ploverwick_adapters::{Copy, Event, Need};
-use ploverwick_endpoints::{Entry, State as EndpointState, Told as ToldLimit};
+use ploverwick_endpoints::{Entry, LimitUpdate, State as EndpointState};
 use ploverwick_names::Moment;
 use ploverwick_topics::Position;
 
@@ -116,7 +116,7 @@
 }
 
 /// Tells all instances a limit of an endpoint that an answer said here.
-pub(crate) fn limit(shared: &Shared, told: ToldLimit) {
+pub(crate) fn limit(shared: &Shared, told: LimitUpdate) {
     let now = shared.now();
     let state = shared.state();
     let mut to = near(shared, &state);
@@ -169,7 +169,7 @@
 /// Tells the instance at `ip` all limits of endpoints that are known here.
 pub(crate) fn limits(shared: &Shared, ip: IpAddr) {
     let now = shared.now();
-    let known = shared.state().limits.all(now);
+    let known = shared.state().limits.updates(now);
     for part in known.chunks(rounds::CHUNK) {
         let message = Message::EndpointLimits(part.to_vec());
         shared.mail.send(&message, &[ip]);
--- a/crates/ploverwick_gateway/src/tell/rounds.rs
+++ b/crates/ploverwick_gateway/src/tell/rounds.rs
@@ -86,7 +86,7 @@
     if round.is_multiple_of(DIGESTS_EVERY) {
         let mut to = near(shared, &state);
         to.extend(hubs(shared, &state, now));
-        let news = state.limits.news(NEAR * DIGESTS_EVERY, now);
+        let news = state.limits.recent_updates(NEAR * DIGESTS_EVERY, now);
         chunks(news, &to, Message::EndpointLimits, &mut out);
         let draining = state.departures.recent(NEAR * DIGESTS_EVERY, now);
         chunks(draining, &to, Message::Draining, &mut out);
@@ -187,7 +187,7 @@
     let own = state.fleet.entries();
     let own = own.filter(|entry| entry.domain == shared.settings.domain);
     let totals = own.map(|entry| {
-        let load = state.fleet.heard_load(&entry.id, now);
+        let load = state.fleet.reported_load(&entry.id, now);
         Load::new(Arc::clone(&entry.id), load)
     });
     totals.collect()
--- a/crates/ploverwick_limits/src/lib.rs
+++ b/crates/ploverwick_limits/src/lib.rs
@@ -1,8 +1,8 @@
-//! Token buckets, and this instance's shares of the table's limits.
+//! Token buckets and per-instance shares of the rate limits in the table.
 //!
-//! Limits of the whole fleet are split evenly over the instances that can take work. That needs no
-//! message; the price is that an instance with more than its share of the traffic refuses while
-//! another has room. `docs/LIMITS.md` states the bounds.
+//! Each fleet-wide limit is split evenly over the instances that accept work. This needs no messages between
+//! instances; in return, an instance with more than its share of the traffic refuses requests while
+//! another one has spare capacity. `docs/LIMITS.md` states the bounds.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// A token bucket on the monotonic clock.
+/// A token bucket that refills by the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Bucket {
     level: f64,
@@ -20,32 +20,32 @@
 }
 
 impl Bucket {
-    /// Makes a bucket that holds `level` tokens.
+    /// Creates a bucket with `level` tokens.
     pub fn new(level: f64, now: Moment) -> Self {
         Self { level, at: now }
     }
 
-    /// Fills the bucket up to `now` at `rate` tokens a second, to at most `burst`.
+    /// Refills the bucket at `rate` tokens per second up to `now`, to at most `burst` tokens.
     pub fn refill(&mut self, rate: f64, burst: f64, now: Moment) {
         let seconds = now.since(self.at).as_secs_f64();
         self.level = (self.level + seconds * rate).min(burst);
         self.at = self.at.max(now);
     }
 
-    /// Returns how many whole tokens there are.
-    pub fn whole(&self) -> u32 {
+    /// Returns the number of whole tokens.
+    pub fn whole_tokens(&self) -> u32 {
         self.level as u32
     }
 
-    /// Takes a token that the caller has seen to be there.
-    pub fn draw(&mut self) {
+    /// Takes a token. The caller must have checked that one is available.
+    pub fn take_unchecked(&mut self) {
         self.level -= 1.0;
     }
 
-    /// Takes a token, or says how long until there is one at `rate`.
+    /// Takes a token if one is available.
     ///
     /// # Errors
-    /// Returns the time until the next token.
+    /// Returns the time until the next token at `rate`.
     pub fn take(&mut self, rate: f64) -> Result<(), Duration> {
         if self.level >= 1.0 {
             self.level -= 1.0;
@@ -56,65 +56,65 @@
     }
 }
 
-/// What is known of the time before a process started.
+/// Whether earlier processes may have used the limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Past {
-    /// The whole system starts for the first time, so that nothing was spent.
+pub enum PriorUse {
+    /// The whole system starts for the first time, so nothing was used.
     #[default]
     None,
-    /// An earlier life may have spent all that its buckets held when it ended.
-    Unproven,
+    /// An earlier process may have used all tokens in its buckets before it ended.
+    Unknown,
 }
 
-/// The instances that share the table's limits.
+/// The instances that share the limits in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sharers {
-    /// The list of instances was not read yet.
+    /// The list of instances has not been read yet.
     Unknown,
-    /// Each has an even part.
+    /// Each instance has an equal share.
     Known {
-        /// How many there are, this one among them.
+        /// The number of instances, including this one.
         count: usize,
-        /// Since when they leave this one its share.
+        /// The time from which the other instances account for this one.
         since: Moment,
     },
 }
 
-/// When to come back to an instance that does not know yet who shares the limits; it reads the list
-/// of instances within some 100 ms of its start, or 1.6 s if it was not on it.
-const UNKNOWN: Duration = Duration::from_millis(300);
-/// What a bucket that nothing was drawn from holds at a first start, in tokens: the one request an
-/// instance that may pass beyond a limit.
-const FIRST: f64 = 1.0;
+/// When to retry a request on an instance that does not know the sharers yet. An instance reads the list of
+/// instances within about 100 ms of its start, or within 1.6 s if it was not on the list.
+const SHARERS_UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// The tokens in a new bucket on the first start of the system: the one request by which each instance may
+/// exceed a limit.
+const FIRST_START_TOKENS: f64 = 1.0;
 
-/// A bucket and when it is full at the latest if nothing more is drawn.
+/// A bucket and the time by which it is full if no more tokens are taken.
 #[derive(Debug, Clone, Copy)]
-struct Share {
+struct Entry {
     bucket: Bucket,
-    full: Moment,
+    full_at: Moment,
 }
 
-/// This instance's shares of the table's limits.
+/// The rate limiter for this instance's shares of the limits in the table.
 #[derive(Debug, Default)]
-pub struct Rates {
-    shares: HashMap<(Subject, Column), Share>,
-    past: Past,
+pub struct RateLimiter {
+    entries: HashMap<(Subject, Column), Entry>,
+    prior_use: PriorUse,
 }
 
-impl Rates {
-    /// Starts with a process.
-    pub fn new(past: Past) -> Self {
+impl RateLimiter {
+    /// Creates a rate limiter without buckets.
+    pub fn new(prior_use: PriorUse) -> Self {
         Self {
-            shares: HashMap::new(),
-            past,
+            entries: HashMap::new(),
+            prior_use,
         }
     }
 
-    /// Takes a token of a cell's limit of `limit` requests a second over the whole fleet.
+    /// Takes a token from this instance's share of a fleet-wide limit of `limit` requests per second.
     ///
     /// # Errors
-    /// Returns how long until there is a token, or until the number of instances may be known.
-    pub fn share(
+    /// Returns the time until the next token, or until the number of instances may be known.
+    pub fn take_shared(
         &mut self,
         subject: &Subject,
         column: &Column,
@@ -123,16 +123,16 @@
         now: Moment,
     ) -> Result<(), Duration> {
         let (rate, since) = match sharers {
-            Sharers::Unknown => return Err(UNKNOWN),
+            Sharers::Unknown => return Err(SHARERS_UNKNOWN_RETRY_AFTER),
             Sharers::Known { count, since } => (limit / count.max(1) as f64, since),
         };
         self.take_since(since, (subject, column), rate, now)
     }
 
-    /// Takes a token of the cell's limit, of which this instance has `rate` a second.
+    /// Takes a token from a limit of which this instance has a share of `rate` requests per second.
     ///
     /// # Errors
-    /// Returns how long until there is a token.
+    /// Returns the time until the next token.
     pub fn take(
         &mut self,
         subject: &Subject,
@@ -151,46 +151,46 @@
         now: Moment,
     ) -> Result<(), Duration> {
         let burst = rate.max(1.0);
-        let level = self.first_level(rate);
+        let level = self.initial_level(rate);
         let key = (subject.clone(), column.clone());
-        // A bucket fills since the others leave this instance its share, whenever it is first used: no
-        // series of starts admits more than one long life, and who has lived the filling time loses
-        // nothing.
-        let share = self.shares.entry(key).or_insert_with(|| Share {
+        // A bucket fills from the time at which the other instances account for this one, even if it is first
+        // used later. Repeated restarts thus admit no more requests than one long-running process, and a
+        // process that has run for the fill time starts with a full bucket.
+        let entry = self.entries.entry(key).or_insert_with(|| Entry {
             bucket: Bucket::new(level, since),
-            full: since,
+            full_at: since,
         });
-        share.bucket.refill(rate, burst, now);
-        share.full = now + filling(rate);
-        share.bucket.take(rate)
+        entry.bucket.refill(rate, burst, now);
+        entry.full_at = now + fill_time(rate);
+        entry.bucket.take(rate)
     }
 
-    /// Forgets the buckets that are full again, after the table changed. The others stay: a new
-    /// table gives nobody back what was spent.
-    pub fn forget_full(&mut self, now: Moment) {
-        self.shares.retain(|_, share| share.full > now);
+    /// Removes the buckets that are full again; called after the table changed. The others are kept because a
+    /// new table must not restore used tokens.
+    pub fn remove_full(&mut self, now: Moment) {
+        self.entries.retain(|_, entry| entry.full_at > now);
     }
 
-    /// Returns how many buckets are kept.
+    /// Returns the number of buckets.
     pub fn len(&self) -> usize {
-        self.shares.len()
+        self.entries.len()
     }
 
-    /// Returns whether no bucket is kept.
+    /// Returns whether there are no buckets.
     pub fn is_empty(&self) -> bool {
-        self.shares.is_empty()
+        self.entries.is_empty()
     }
 
-    fn first_level(&self, rate: f64) -> f64 {
-        match self.past {
-            Past::None if rate > 0.0 => FIRST,
-            Past::None | Past::Unproven => 0.0,
+    fn initial_level(&self, rate: f64) -> f64 {
+        match self.prior_use {
+            PriorUse::None if rate > 0.0 => FIRST_START_TOKENS,
+            PriorUse::None | PriorUse::Unknown => 0.0,
         }
     }
 }
 
-/// Returns how long an empty bucket takes to be full; a limit of nothing counts as a day.
-fn filling(rate: f64) -> Duration {
+/// Returns the time to fill an empty bucket, at most one day. A rate of zero counts as one day.
+fn fill_time(rate: f64) -> Duration {
     const DAY_S: f64 = 86_400.0;
     Duration::from_secs_f64((1.0 / rate.max(f64::MIN_POSITIVE)).clamp(1.0, DAY_S))
 }
--- a/crates/ploverwick_limits/tests/life_series.rs
+++ b/crates/ploverwick_limits/tests/life_series.rs
@@ -7,7 +7,7 @@
 //! admits 825 if each of six instances starts anew every three seconds, and 1,140 if all do each second.
 
 use googletest::prelude::*;
-use ploverwick_limits::{Past, Rates, Sharers};
+use ploverwick_limits::{PriorUse, RateLimiter, Sharers};
 use ploverwick_names::Moment;
 use ploverwick_table::{Column, Subject};
 
@@ -23,13 +23,13 @@
     "limit".parse().expect("a column's header")
 }
 
-fn take(rates: &mut Rates, limit: f64, age: usize) -> bool {
+fn take(rates: &mut RateLimiter, limit: f64, age: usize) -> bool {
     let now = Moment(age as u64);
     let sharers = Sharers::Known {
         count: INSTANCES,
         since: Moment(0),
     };
-    let taken = rates.share(&Subject::All, &column(), limit, sharers, now);
+    let taken = rates.take_shared(&Subject::All, &column(), limit, sharers, now);
     taken.is_ok()
 }
 
@@ -44,13 +44,13 @@
     starts: impl Fn(usize, usize) -> bool,
     pauses: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
-    let mut lives: Vec<(usize, Rates)> = Vec::new();
-    lives.resize_with(INSTANCES, || (0, Rates::new(Past::None)));
+    let mut lives: Vec<(usize, RateLimiter)> = Vec::new();
+    lives.resize_with(INSTANCES, || (0, RateLimiter::new(PriorUse::None)));
     let mut admitted = Vec::new();
     for at in (0..PLAYED).step_by(PACE) {
         for (number, life) in lives.iter_mut().enumerate() {
             if starts(number, at) {
-                *life = (at, Rates::new(Past::Unproven));
+                *life = (at, RateLimiter::new(PriorUse::Unknown));
             }
             if !pauses(at) && take(&mut life.1, LIMIT, at - life.0) {
                 admitted.push(at);
@@ -130,7 +130,7 @@
 /// A first use finds a whole burst if the process has lived the filling time.
 #[googletest::test]
 fn first_use_is_whole() {
-    let mut rates = Rates::new(Past::Unproven);
+    let mut rates = RateLimiter::new(PriorUse::Unknown);
     let burst = (0..100).filter(|_| take(&mut rates, LIMIT, 1_000)).count();
     expect_that!(burst, eq(10));
 }
@@ -138,13 +138,13 @@
 /// A share below one a second waits for its first request as long as for any other.
 #[googletest::test]
 fn small_share_waits() {
-    let mut rates = Rates::new(Past::Unproven);
+    let mut rates = RateLimiter::new(PriorUse::Unknown);
     // A tenth of a request a second.
     let limit = 0.1 * INSTANCES as f64;
     expect_that!(take(&mut rates, limit, 9_900), is_false());
     expect_that!(take(&mut rates, limit, 10_010), is_true());
     // Nothing was spent before a first start.
-    let mut rates = Rates::new(Past::None);
+    let mut rates = RateLimiter::new(PriorUse::None);
     expect_that!(take(&mut rates, limit, 10), is_true());
     expect_that!(take(&mut rates, limit, 20), is_false());
 }
@@ -152,14 +152,14 @@
 /// An instance that others did not count has nothing for that time, however long it has run.
 #[googletest::test]
 fn newcomer_begins_empty() {
-    let mut rates = Rates::new(Past::Unproven);
+    let mut rates = RateLimiter::new(PriorUse::Unknown);
     let sharers = Sharers::Known {
         count: INSTANCES,
         since: Moment(8_000),
     };
     let mut take = |at| {
         rates
-            .share(&Subject::All, &column(), LIMIT, sharers, Moment(at))
+            .take_shared(&Subject::All, &column(), LIMIT, sharers, Moment(at))
             .is_ok()
     };
     expect_that!(take(8_050), is_false());
@@ -169,19 +169,19 @@
 
 #[googletest::test]
 fn unknown_sharers_wait() {
-    let mut rates = Rates::new(Past::None);
+    let mut rates = RateLimiter::new(PriorUse::None);
     let now = Moment(60_000);
-    let taken = rates.share(&Subject::All, &column(), LIMIT, Sharers::Unknown, now);
+    let taken = rates.take_shared(&Subject::All, &column(), LIMIT, Sharers::Unknown, now);
     expect_that!(taken, err(anything()));
 }
 
 #[googletest::test]
 fn change_keeps_spent() {
-    let mut rates = Rates::new(Past::Unproven);
+    let mut rates = RateLimiter::new(PriorUse::Unknown);
     while take(&mut rates, LIMIT, 20_000) {}
-    rates.forget_full(Moment(20_000));
+    rates.remove_full(Moment(20_000));
     expect_that!(take(&mut rates, LIMIT, 20_000), is_false());
     // Full again after a second, so that nothing has to be remembered.
-    rates.forget_full(Moment(21_000));
+    rates.remove_full(Moment(21_000));
     expect_that!(rates.is_empty(), is_true());
 }
--- a/crates/ploverwick_limits/tests/limit_rate.rs
+++ b/crates/ploverwick_limits/tests/limit_rate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_limits::{Bucket, Rates};
+use ploverwick_limits::{Bucket, RateLimiter};
 use ploverwick_names::Moment;
 use ploverwick_table::{Column, Subject};
 
@@ -13,8 +13,8 @@
 
 #[googletest::test]
 fn rate_is_kept() {
-    let mut rates = Rates::default();
-    let take = |rates: &mut Rates, at| rates.take(&Subject::All, &column(), 5.0, Moment(at));
+    let mut rates = RateLimiter::default();
+    let take = |rates: &mut RateLimiter, at| rates.take(&Subject::All, &column(), 5.0, Moment(at));
     let admitted = (0..10_000_u64)
         .step_by(10)
         .filter(|at| take(&mut rates, *at).is_ok());
@@ -24,7 +24,7 @@
 
 #[googletest::test]
 fn hint_tells_when() {
-    let mut rates = Rates::default();
+    let mut rates = RateLimiter::default();
     expect_that!(
         rates.take(&Subject::All, &column(), 1.0, Moment(0)),
         ok(anything())
@@ -39,7 +39,7 @@
 
 #[googletest::test]
 fn zero_admits_none() {
-    let mut rates = Rates::default();
+    let mut rates = RateLimiter::default();
     let taken = rates.take(&Subject::All, &column(), 0.0, Moment(5_000));
     expect_that!(taken, err(anything()));
 }
@@ -48,5 +48,5 @@
 fn bucket_holds_burst() {
     let mut bucket = Bucket::new(0.0, Moment(0));
     bucket.refill(10.0, 3.0, Moment(60_000));
-    expect_that!(bucket.whole(), eq(3));
+    expect_that!(bucket.whole_tokens(), eq(3));
 }
