--- a/crates/ploverwick_endpoints/tests/missing_endpoint.rs
+++ b/crates/ploverwick_endpoints/tests/absences.rs
@@ -1,4 +1,4 @@
-//! When an endpoint that is missing from the list counts as gone.
+//! Tests when an endpoint that is missing from the list is treated as removed.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use ploverwick_names::Moment;
 
 #[googletest::test]
-fn gone_at_once() {
+fn missing_endpoint_is_removed_immediately() {
     let mut absences = Absences::default();
     absences.record_store_read(Moment(0));
     expect_that!(
@@ -17,7 +17,7 @@
 }
 
 #[googletest::test]
-fn lapsed_is_awaited() {
+fn endpoint_may_return_after_outage() {
     let mut absences = Absences::default();
     absences.record_store_failure();
     absences.record_store_read(Moment(1_000));
@@ -31,7 +31,7 @@
 }
 
 #[googletest::test]
-fn awaited_in_vain() {
+fn endpoint_is_removed_after_timeout() {
     let mut absences = Absences::default();
     absences.record_store_failure();
     absences.record_store_read(Moment(1_000));
@@ -39,10 +39,10 @@
     expect_that!(absences.remove_expired(Moment(2_900)), len(eq(1)));
 }
 
-/// Found by hunt-5893-27 and hunt-5893-35: a leave 1.8 s after the store's return was waited for
-/// until 5 s after it, and the endpoint got requests for too long.
+/// Guards against waiting for an endpoint that left after the store had already been read again. An endpoint
+/// that left 1.8 s after the store recovered received requests until 5 s after the recovery.
 #[googletest::test]
-fn leave_after_return() {
+fn departure_after_second_read_is_immediate() {
     let mut absences = Absences::default();
     absences.record_store_failure();
     absences.record_store_read(Moment(12_120));
--- a/crates/ploverwick_endpoints/tests/answer_timeout.rs
+++ b/crates/ploverwick_endpoints/tests/answer_timeout.rs
@@ -1,4 +1,4 @@
-//! How long an answer is awaited before another endpoint is asked.
+//! Tests the timeout after which a request is sent to another endpoint.
 
 use std::time::Duration;
 
@@ -7,21 +7,22 @@
 
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
-fn expecting(ms: u64) -> Duration {
+fn timeout(ms: u64) -> Duration {
     answer_timeout(OBJECTIVE, Duration::from_millis(ms))
 }
 
-/// Half of the late answers of a quiet day were sends given up after one objective while the endpoint
-/// read prompts of 9,000 tokens, each of which was then read once more elsewhere.
+/// Guards against a timeout while an endpoint is still reading a long prompt. With a timeout of one
+/// objective, prompts of 9,000 tokens were read again on another endpoint, which caused half of the late
+/// answers on a day with little load.
 #[googletest::test]
-fn reading_is_awaited() {
-    expect_that!(expecting(600), eq(Duration::from_millis(1_800)));
-    expect_that!(expecting(5_000), eq(OBJECTIVE * 3));
+fn long_prompts_extend_timeout() {
+    expect_that!(timeout(600), eq(Duration::from_millis(1_800)));
+    expect_that!(timeout(5_000), eq(OBJECTIVE * 3));
 }
 
 #[googletest::test]
-fn idle_must_answer() {
-    expect_that!(expecting(20), eq(OBJECTIVE));
-    let soon = answer_timeout(Duration::ZERO, Duration::ZERO);
-    expect_that!(soon, gt(Duration::ZERO));
+fn idle_endpoint_must_meet_objective() {
+    expect_that!(timeout(20), eq(OBJECTIVE));
+    let shortest = answer_timeout(Duration::ZERO, Duration::ZERO);
+    expect_that!(shortest, gt(Duration::ZERO));
 }
--- a/crates/ploverwick_endpoints/tests/endpoint_choice.rs
+++ b/crates/ploverwick_endpoints/tests/endpoint_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint by load, domain and health.
+//! Tests endpoint selection by load, failure domain and health.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -46,12 +46,12 @@
 }
 
 #[googletest::test]
-fn own_domain_first() {
+fn own_domain_is_preferred() {
     expect_that!(first(&fleet(), Moment(0)).as_deref(), some(eq("a")));
 }
 
 #[googletest::test]
-fn full_endpoint_yields() {
+fn full_endpoint_is_avoided() {
     let mut fleet = fleet();
     for _ in 0..4 {
         fleet.record_sent("a", 0);
@@ -60,7 +60,7 @@
 }
 
 #[googletest::test]
-fn peers_requests_count() {
+fn peer_reports_count_until_expired() {
     let mut fleet = fleet();
     let load = Load {
         requests: 6,
@@ -69,12 +69,12 @@
     let loads = HashMap::from([(Arc::from("a"), load)]);
     fleet.record_report(Arc::from("peer"), loads, Moment(0));
     expect_that!(first(&fleet, Moment(10)).as_deref(), some(not(eq("a"))));
-    // An old report counts no longer.
+    // An expired report is ignored.
     expect_that!(first(&fleet, Moment(9_000)).as_deref(), some(eq("a")));
 }
 
 #[googletest::test]
-fn draining_gets_none() {
+fn draining_endpoint_is_not_ranked() {
     let mut fleet = fleet();
     let mut leaving = entry("a", "d1");
     leaving.state = State::Draining;
@@ -88,14 +88,14 @@
 }
 
 #[googletest::test]
-fn failures_eject() {
+fn failures_eject_until_trial_succeeds() {
     let mut fleet = fleet();
     for _ in 0..3 {
         fleet.record_sent("a", 0);
         fleet.record_ended("a", Outcome::Broken, Moment(0));
     }
     expect_that!(first(&fleet, Moment(1)).as_deref(), some(not(eq("a"))));
-    // One trial at a time after the ejection, and its success readmits.
+    // After the ejection there is one trial request at a time, and its success readmits the endpoint.
     expect_that!(first(&fleet, Moment(2_000)).as_deref(), some(eq("a")));
     fleet.record_sent("a", 0);
     expect_that!(first(&fleet, Moment(2_000)).as_deref(), some(not(eq("a"))));
@@ -104,7 +104,7 @@
 }
 
 #[googletest::test]
-fn all_ejected_still_serve() {
+fn ejected_endpoints_serve_as_last_resort() {
     let mut fleet = fleet();
     for id in ["a", "b", "c"] {
         for _ in 0..3 {
@@ -116,7 +116,7 @@
 }
 
 #[googletest::test]
-fn slow_endpoint_yields() {
+fn slow_endpoint_is_avoided() {
     let mut fleet = fleet();
     for (id, ms) in [("a", 400), ("b", 30), ("c", 30)] {
         fleet.record_latency(id, 0, Duration::from_millis(ms));
@@ -125,7 +125,7 @@
 }
 
 #[googletest::test]
-fn long_prompt_is_avoided() {
+fn endpoint_reading_long_prompt_is_avoided() {
     let mut fleet = fleet();
     fleet.record_sent("a", 9_000);
     expect_that!(first(&fleet, Moment(0)).as_deref(), some(not(eq("a"))));
@@ -134,7 +134,7 @@
 }
 
 #[googletest::test]
-fn digest_tells_lists_apart() {
+fn digest_depends_on_entries_not_order() {
     let fleet = fleet();
     let mut same = Fleet::default();
     for (id, domain) in [("c", "d3"), ("a", "d1"), ("b", "d2")] {
@@ -147,10 +147,10 @@
     expect_that!(same.digest(), not(eq(fleet.digest())));
 }
 
-/// Found by turnovar-ops-grown scale-2: 18 instances that had heard the same sent to the same endpoint
-/// until they heard of it, and it refused them.
+/// Guards against a thundering herd: 18 instances with the same reports selected the same endpoint until
+/// its load was reported, and it refused their requests.
 #[googletest::test]
-fn crowd_chooses_apart() {
+fn jitter_spreads_concurrent_requests() {
     let mut fleet = Fleet::default();
     for id in ["a", "b", "c", "d"] {
         fleet.put(entry(id, "d1"));
@@ -172,9 +172,9 @@
     expect_that!(chosen.values().max(), some(le(&160)));
 }
 
-/// Bytes to other failure domains are dear, whatever chance says.
+/// Guards against jitter that outweighs the cost of sending bytes to another failure domain.
 #[googletest::test]
-fn crowd_stays_home() {
+fn jitter_does_not_cause_remote_sends() {
     let fleet = fleet();
     let query = |number: usize| format!("request-{number}");
     let chosen = (0..400).map(query).map(|id| {
@@ -190,9 +190,9 @@
     expect_that!(away, eq(0));
 }
 
-/// A late message of a peer may say "ready" of an endpoint that has begun to leave.
+/// Guards against a delayed message from a peer that makes a draining endpoint ready again.
 #[googletest::test]
-fn leaving_stays_leaving() {
+fn draining_endpoint_stays_draining() {
     let mut fleet = fleet();
     let mut leaving = entry("a", "d1");
     leaving.state = State::Draining;
--- a/crates/ploverwick_endpoints/tests/instance_count.rs
+++ b/crates/ploverwick_endpoints/tests/instance_count.rs
@@ -1,4 +1,4 @@
-//! How many instances share an allowance, as far as one of them can prove.
+//! Tests the number of instances that share the retry allowance.
 
 use std::time::Duration;
 
@@ -6,64 +6,64 @@
 use ploverwick_endpoints::{InstanceCount, RetryPolicy};
 use ploverwick_names::Moment;
 
-const RATE: RetryPolicy = RetryPolicy {
+const POLICY: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     allowance: 60.0,
     window: Duration::from_secs(10),
 };
 
-fn heard(counts: &[(u64, usize)]) -> InstanceCount {
+fn with_counts(counts: &[(u64, usize)]) -> InstanceCount {
     let mut instance_count = InstanceCount::default();
     for (at, instances) in counts {
-        instance_count.record(*instances, RATE, Moment(*at));
+        instance_count.record(*instances, POLICY, Moment(*at));
     }
     instance_count
 }
 
 #[googletest::test]
-fn unknown_has_none() {
+fn unknown_count_has_no_share() {
     let instance_count = InstanceCount::default();
-    expect_that!(instance_count.share(RATE, Moment(60_000)), eq(0.0));
-    expect_that!(instance_count.max_in_window(RATE, Moment(60_000)), none());
+    expect_that!(instance_count.share(POLICY, Moment(60_000)), eq(0.0));
+    expect_that!(instance_count.max_in_window(POLICY, Moment(60_000)), none());
 }
 
 #[googletest::test]
-fn new_has_none() {
-    let instance_count = heard(&[(1_000, 6)]);
-    expect_that!(instance_count.share(RATE, Moment(12_500)), eq(0.0));
-    expect_that!(instance_count.share(RATE, Moment(13_500)), eq(10.0));
+fn new_process_has_no_share() {
+    let instance_count = with_counts(&[(1_000, 6)]);
+    expect_that!(instance_count.share(POLICY, Moment(12_500)), eq(0.0));
+    expect_that!(instance_count.share(POLICY, Moment(13_500)), eq(10.0));
 }
 
-/// What an instance that has just left spent still counts.
+/// Guards against ignoring the retries of an instance that has just left.
 #[googletest::test]
-fn largest_counts() {
-    let instance_count = heard(&[(0, 6), (20_000, 4), (20_500, 5)]);
+fn largest_count_in_window_applies() {
+    let instance_count = with_counts(&[(0, 6), (20_000, 4), (20_500, 5)]);
     expect_that!(
-        instance_count.max_in_window(RATE, Moment(25_000)),
+        instance_count.max_in_window(POLICY, Moment(25_000)),
         some(eq(6))
     );
     expect_that!(
-        instance_count.max_in_window(RATE, Moment(30_000)),
+        instance_count.max_in_window(POLICY, Moment(30_000)),
         some(eq(6))
     );
     expect_that!(
-        instance_count.max_in_window(RATE, Moment(30_001)),
+        instance_count.max_in_window(POLICY, Moment(30_001)),
         some(eq(5))
     );
 }
 
-/// A number that lasts is not forgotten, and those before it are not kept.
+/// Guards against expiry of the current count, and against earlier counts that never expire.
 #[googletest::test]
-fn old_numbers_lapse() {
-    let mut instance_count = heard(&[(0, 9), (1_000, 3)]);
+fn replaced_counts_expire() {
+    let mut instance_count = with_counts(&[(0, 9), (1_000, 3)]);
     expect_that!(
-        instance_count.max_in_window(RATE, Moment(90_000)),
+        instance_count.max_in_window(POLICY, Moment(90_000)),
         some(eq(3))
     );
-    instance_count.record(3, RATE, Moment(90_000));
-    instance_count.record(4, RATE, Moment(91_000));
+    instance_count.record(3, POLICY, Moment(90_000));
+    instance_count.record(4, POLICY, Moment(91_000));
     expect_that!(
-        instance_count.max_in_window(RATE, Moment(92_000)),
+        instance_count.max_in_window(POLICY, Moment(92_000)),
         some(eq(4))
     );
 }
--- a/crates/ploverwick_endpoints/tests/limited_fleet/mod.rs
+++ b/crates/ploverwick_endpoints/tests/limited_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet without a network: instances before endpoints that name limits, messages that are late or lost,
-//! instances that are killed, and a judge that sees each request arrive.
+//! A simulated fleet without a network: endpoints set limits, messages are delayed or lost, and instances are
+//! killed. The simulation checks each request as it arrives at its endpoint.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,80 +11,81 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// The window over which requests are counted, in ms.
-const WINDOW: u64 = 4_000;
-/// How many times its limit an endpoint may get in a window, and how many requests more.
-const MOST: (f64, f64) = (1.5, 5.0);
-/// From when on the judge counts after the first answer with a limit, in ms.
-const SETTLED: u64 = 1_500;
-/// How long after its start an instance is not to blame: it knows nothing yet. In ms.
-const STARTING: u64 = 500;
-/// How often the parts are given anew, in ms.
-const ROUND: u64 = 150;
-/// How often what answers said is told again, in ms.
-const AGAIN: u64 = 2_100;
-/// How long a silent instance is still believed to run, in ms.
-const BELIEVED: u64 = 2_500;
-/// The part of the messages that is lost.
-const LOST: f64 = 0.05;
-/// The pace of requests at each endpoint, a second.
-const PACE: f64 = 12.0;
+/// The window over which the requests to an endpoint are counted.
+const WINDOW_MS: u64 = 4_000;
+/// The requests that an endpoint may get in a window: a multiple of its limit, plus a constant.
+const MAX_WINDOW_REQUESTS: (f64, f64) = (1.5, 5.0);
+/// How long after the first answer with a limit counting starts.
+const SETTLING_MS: u64 = 1_500;
+/// How long after its start the requests of an instance are not counted, because it knows no limits yet.
+const STARTUP_MS: u64 = 500;
+/// How often shares are reassigned.
+const ASSIGN_INTERVAL_MS: u64 = 150;
+/// How often recent updates are broadcast again.
+const REBROADCAST_INTERVAL_MS: u64 = 2_100;
+/// How long other instances take to notice that an instance has stopped.
+const FAILURE_DETECTION_MS: u64 = 2_500;
+/// The fraction of messages that are lost.
+const MESSAGE_LOSS: f64 = 0.05;
+/// The average request rate per endpoint.
+const REQUESTS_PER_S: f64 = 12.0;
 
-/// How instances keep to a limit.
+/// How instances divide a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// Not at all.
+pub enum Strategy {
+    /// Instances ignore limits.
     Ignored,
-    /// Each has an even part.
+    /// All instances have equal shares.
     Even,
-    /// A few have even parts, and the others send nothing.
+    /// A few instances have equal shares, and the others send nothing.
     Few,
 }
 
-/// A series of events.
+/// The parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct Series {
+pub struct Scenario {
     pub instances: usize,
     pub domains: usize,
     pub endpoints: usize,
-    /// The part of the endpoints that name limits.
+    /// The fraction of endpoints that set limits.
     pub limited: f64,
-    /// The limits are drawn from these, in requests a second.
+    /// The range of limits, in requests per second.
     pub limits: (f64, f64),
-    /// How many instances are killed and started again, at any moment.
+    /// How many times an instance is killed and restarted, at random times.
     pub kills: usize,
-    /// How long it lasts, in ms; limits are named from a third of it to two thirds.
-    pub length: u64,
+    /// The simulated time. Limits are in force during its second third.
+    pub length_ms: u64,
 }
 
-/// What the judge saw.
+/// The measurements of a simulation.
 #[derive(Debug, Default, Clone)]
-pub struct Seen {
-    /// The fullest window of any endpoint against what it may hold.
-    pub fullest: f64,
-    /// What limited endpoints got of what their limits allow.
-    pub used: f64,
-    /// The part of the requests that was refused while limits were in force.
+pub struct Results {
+    /// The largest ratio of received to allowed requests in any window of any endpoint.
+    pub max_window_fill: f64,
+    /// The ratio of received to allowed requests at limited endpoints.
+    pub utilisation: f64,
+    /// The fraction of requests that were refused while limits were in force.
     pub refused: f64,
-    /// Messages that each instance got a second while limits were in force.
+    /// Messages per second that each instance received while limits were in force.
     pub messages: f64,
-    /// What endpoints got after they lifted their limits, against the others; from five seconds on.
-    pub regained: f64,
+    /// The ratio of requests at endpoints that lifted their limits to those at other endpoints, from five seconds
+    /// after the lifting.
+    pub recovery: f64,
 }
 
 struct Instance {
     limits: Limits,
     domain: usize,
     down_until: u64,
-    began: u64,
+    started_at: u64,
 }
 
 struct Endpoint {
     name: Arc<str>,
     limit: Option<Limit>,
     rate: f64,
-    /// When an answer first named a limit.
-    named: Option<u64>,
+    /// When a request first arrived while the limit was in force.
+    limited_at: Option<u64>,
     window: VecDeque<u64>,
     limited_arrivals: u64,
     later_arrivals: u64,
@@ -96,24 +97,24 @@
         endpoint: usize,
         from: usize,
         sent: u64,
-        life: u64,
+        started_at: u64,
     },
     AnswerReceived {
         endpoint: usize,
         to: usize,
         sent: u64,
-        life: u64,
+        started_at: u64,
         limit: Option<u64>,
     },
     UpdateReceived {
         to: usize,
-        news: usize,
+        update: usize,
     },
 }
 
 pub struct Fleet {
-    way: Way,
-    series: Series,
+    strategy: Strategy,
+    scenario: Scenario,
     random: StdRng,
     now: u64,
     instances: Vec<Instance>,
@@ -121,34 +122,34 @@
     endpoints: Vec<Endpoint>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
-    news: Vec<LimitUpdate>,
-    seen: Seen,
-    asked: u64,
+    updates: Vec<LimitUpdate>,
+    results: Results,
+    requests: u64,
     refused: u64,
     messages: u64,
 }
 
 impl Fleet {
-    pub fn new(way: Way, series: Series, seed: u64) -> Self {
-        let instances = (0..series.instances).map(|number| Instance {
+    pub fn new(strategy: Strategy, scenario: Scenario, seed: u64) -> Self {
+        let instances = (0..scenario.instances).map(|number| Instance {
             limits: Limits::default(),
-            domain: number % series.domains,
+            domain: number % scenario.domains,
             down_until: 0,
-            began: 0,
+            started_at: 0,
         });
-        let endpoints = (0..series.endpoints).map(|number| Endpoint {
+        let endpoints = (0..scenario.endpoints).map(|number| Endpoint {
             name: Arc::from(format!("i-{number}")),
             limit: None,
             rate: 0.0,
-            named: None,
+            limited_at: None,
             window: VecDeque::new(),
             limited_arrivals: 0,
             later_arrivals: 0,
         });
         Self {
-            way,
+            strategy,
             instances: instances.collect(),
-            names: (0..series.instances)
+            names: (0..scenario.instances)
                 .map(|n| format!("instance-{n}"))
                 .collect(),
             endpoints: endpoints.collect(),
@@ -156,28 +157,28 @@
             now: 0,
             events: BinaryHeap::new(),
             number: 0,
-            news: Vec::new(),
-            seen: Seen::default(),
-            asked: 0,
+            updates: Vec::new(),
+            results: Results::default(),
+            requests: 0,
             refused: 0,
             messages: 0,
-            series,
+            scenario,
         }
     }
 
-    /// Plays the series.
-    pub fn run(mut self) -> Seen {
-        let length = self.series.length;
-        let (named, lifted) = (length / 3, length * 2 / 3);
-        let mut kills: Vec<u64> = (0..self.series.kills)
-            .map(|_| self.random.random_range(0..length))
+    /// Runs the simulation.
+    pub fn run(mut self) -> Results {
+        let length_ms = self.scenario.length_ms;
+        let (limited_at, lifted) = (length_ms / 3, length_ms * 2 / 3);
+        let mut kills: Vec<u64> = (0..self.scenario.kills)
+            .map(|_| self.random.random_range(0..length_ms))
             .collect();
         kills.sort_unstable();
-        let pace = PACE * self.series.endpoints as f64 / 1_000.0;
+        let requests_per_ms = REQUESTS_PER_S * self.scenario.endpoints as f64 / 1_000.0;
         let mut due = 0.0;
-        while self.now < length {
-            if self.now == named {
-                self.name_limits();
+        while self.now < length_ms {
+            if self.now == limited_at {
+                self.set_limits();
             }
             if self.now == lifted {
                 for endpoint in &mut self.endpoints {
@@ -189,20 +190,20 @@
                 self.kill();
             }
             self.deliver();
-            due += pace * self.random.random_range(0.0..2.0);
+            due += requests_per_ms * self.random.random_range(0.0..2.0);
             while due >= 1.0 {
                 due -= 1.0;
-                self.ask();
+                self.send_request();
             }
-            if self.now.is_multiple_of(ROUND) {
+            if self.now.is_multiple_of(ASSIGN_INTERVAL_MS) {
                 self.assign_all();
             }
-            if self.now.is_multiple_of(AGAIN) {
-                self.tell_again();
+            if self.now.is_multiple_of(REBROADCAST_INTERVAL_MS) {
+                self.rebroadcast();
             }
             self.now += 1;
         }
-        self.judge(lifted - named)
+        self.measure(lifted - limited_at)
     }
 
     fn moment(&self) -> Moment {
@@ -210,14 +211,14 @@
     }
 
     fn is_limited_time(&self) -> bool {
-        let third = self.series.length / 3;
+        let third = self.scenario.length_ms / 3;
         (third..third * 2).contains(&self.now)
     }
 
-    fn name_limits(&mut self) {
-        let (least, most) = self.series.limits;
+    fn set_limits(&mut self) {
+        let (least, most) = self.scenario.limits;
         for number in 0..self.endpoints.len() {
-            if self.random.random::<f64>() < self.series.limited {
+            if self.random.random::<f64>() < self.scenario.limited {
                 let rate = self.random.random_range(least..=most);
                 self.endpoints[number].rate = rate;
                 self.endpoints[number].limit = Some(Limit::per_second(rate));
@@ -231,7 +232,7 @@
         let instance = &mut self.instances[number];
         instance.limits = Limits::default();
         instance.down_until = self.now + down;
-        instance.began = self.now + down;
+        instance.started_at = self.now + down;
     }
 
     fn push(&mut self, after: u64, event: Event) {
@@ -252,48 +253,58 @@
                     endpoint,
                     from,
                     sent,
-                    life,
+                    started_at,
                 } => {
-                    self.arrives(endpoint, from, sent, life);
+                    self.handle_request(endpoint, from, sent, started_at);
                 }
                 Event::AnswerReceived {
                     endpoint,
                     to,
                     sent,
-                    life,
+                    started_at,
                     limit,
                 } => {
-                    if self.instances[to].began == life && self.instances[to].down_until <= self.now
+                    if self.instances[to].started_at == started_at
+                        && self.instances[to].down_until <= self.now
                     {
-                        self.answered(endpoint, to, sent, limit);
+                        self.handle_answer(endpoint, to, sent, limit);
                     }
                 }
-                Event::UpdateReceived { to, news } => self.told(to, news),
+                Event::UpdateReceived { to, update } => self.receive_update(to, update),
             }
         }
     }
 
-    fn arrives(&mut self, number: usize, from: usize, sent: u64, life: u64) {
+    fn handle_request(&mut self, number: usize, from: usize, sent: u64, started_at: u64) {
         let now = self.now;
-        let from_third = self.series.length / 3;
-        let is_starting = life > 0 && sent < life + STARTING;
+        let from_third = self.scenario.length_ms / 3;
+        let is_starting = started_at > 0 && sent < started_at + STARTUP_MS;
         let endpoint = &mut self.endpoints[number];
         if endpoint.limit.is_some() {
-            if !is_starting && endpoint.named.is_some_and(|named| now >= named + SETTLED) {
+            if !is_starting
+                && endpoint
+                    .limited_at
+                    .is_some_and(|limited_at| now >= limited_at + SETTLING_MS)
+            {
                 endpoint.window.push_back(now);
-                while endpoint.window.front().is_some_and(|at| *at + WINDOW < now) {
+                while endpoint
+                    .window
+                    .front()
+                    .is_some_and(|at| *at + WINDOW_MS < now)
+                {
                     endpoint.window.pop_front();
                 }
-                let most = MOST.0 * endpoint.rate * WINDOW as f64 / 1_000.0 + MOST.1;
+                let most = MAX_WINDOW_REQUESTS.0 * endpoint.rate * WINDOW_MS as f64 / 1_000.0
+                    + MAX_WINDOW_REQUESTS.1;
                 let fill = endpoint.window.len() as f64 / most.floor();
-                self.seen.fullest = self.seen.fullest.max(fill);
+                self.results.max_window_fill = self.results.max_window_fill.max(fill);
                 endpoint.limited_arrivals += 1;
             }
-            endpoint.named.get_or_insert(now);
+            endpoint.limited_at.get_or_insert(now);
         } else if now >= from_third * 2 + 5_000 {
             endpoint.later_arrivals += 1;
         }
-        // The limit as the answer carries it, in thousandths, so that events can be ordered.
+        // Limits are integers, in thousandths, because events must be ordered.
         let limit = endpoint.limit.map(|_| (endpoint.rate * 1_000.0) as u64);
         let after = self.random.random_range(50..400);
         self.push(
@@ -302,14 +313,14 @@
                 endpoint: number,
                 to: from,
                 sent,
-                life,
+                started_at,
                 limit,
             },
         );
     }
 
-    fn answered(&mut self, number: usize, to: usize, sent: u64, limit: Option<u64>) {
-        if self.way == Way::Ignored {
+    fn handle_answer(&mut self, number: usize, to: usize, sent: u64, limit: Option<u64>) {
+        if self.strategy == Strategy::Ignored {
             return;
         }
         let now = self.moment();
@@ -320,45 +331,45 @@
         if change == ploverwick_endpoints::Change::Unchanged {
             return;
         }
-        let told = limits.update(&name, now);
+        let update = limits.update(&name, now);
         self.assign(to, &name);
-        if let Some(told) = told {
-            self.tell(to, told);
+        if let Some(update) = update {
+            self.broadcast(to, update);
         }
     }
 
-    fn tell(&mut self, from: usize, told: LimitUpdate) {
-        self.news.push(told);
-        let news = self.news.len() - 1;
+    fn broadcast(&mut self, from: usize, update: LimitUpdate) {
+        self.updates.push(update);
+        let update = self.updates.len() - 1;
         for to in 0..self.instances.len() {
-            if to != from && self.random.random::<f64>() >= LOST {
+            if to != from && self.random.random::<f64>() >= MESSAGE_LOSS {
                 let after = self.random.random_range(1..30);
-                self.push(after, Event::UpdateReceived { to, news });
+                self.push(after, Event::UpdateReceived { to, update });
             }
         }
     }
 
-    fn told(&mut self, to: usize, news: usize) {
+    fn receive_update(&mut self, to: usize, update: usize) {
         if self.instances[to].down_until > self.now {
             return;
         }
         if self.is_limited_time() {
             self.messages += 1;
         }
-        let told = self.news[news].clone();
+        let update = self.updates[update].clone();
         let now = self.moment();
-        let change = self.instances[to].limits.apply_update(&told, now);
+        let change = self.instances[to].limits.apply_update(&update, now);
         if change != ploverwick_endpoints::Change::Unchanged {
-            self.assign(to, &told.endpoint);
+            self.assign(to, &update.endpoint);
         }
     }
 
-    fn tell_again(&mut self) {
+    fn rebroadcast(&mut self) {
         let now = self.moment();
         for from in 0..self.instances.len() {
-            let span = Duration::from_millis(AGAIN);
-            for told in self.instances[from].limits.recent_updates(span, now) {
-                self.tell(from, told);
+            let max_age = Duration::from_millis(REBROADCAST_INTERVAL_MS);
+            for update in self.instances[from].limits.recent_updates(max_age, now) {
+                self.broadcast(from, update);
             }
         }
     }
@@ -366,7 +377,7 @@
     fn assign_all(&mut self) {
         let now = self.moment();
         for number in 0..self.instances.len() {
-            self.ask_limits(number);
+            self.request_limits(number);
             let limits = &mut self.instances[number].limits;
             limits.sweep(|_| true, now);
             let limited: Vec<Arc<str>> = limits.limited().map(|(e, _)| Arc::clone(e)).collect();
@@ -376,35 +387,36 @@
         }
     }
 
-    /// An instance that has just started asks another one what it knows.
-    fn ask_limits(&mut self, number: usize) {
-        let began = self.instances[number].began;
-        let has_just_started = began > 0 && (began..began + 3 * ROUND).contains(&self.now);
+    /// Requests the known limits from a random instance if this one has just started.
+    fn request_limits(&mut self, number: usize) {
+        let started_at = self.instances[number].started_at;
+        let has_just_started =
+            started_at > 0 && (started_at..started_at + 3 * ASSIGN_INTERVAL_MS).contains(&self.now);
         let other = self.random.random_range(0..self.instances.len());
         if !has_just_started || self.instances[other].down_until > self.now {
             return;
         }
-        for told in self.instances[other].limits.updates(self.moment()) {
-            self.news.push(told);
-            let news = self.news.len() - 1;
-            if self.random.random::<f64>() >= LOST {
-                self.push(5, Event::UpdateReceived { to: number, news });
+        for update in self.instances[other].limits.updates(self.moment()) {
+            self.updates.push(update);
+            let update = self.updates.len() - 1;
+            if self.random.random::<f64>() >= MESSAGE_LOSS {
+                self.push(5, Event::UpdateReceived { to: number, update });
             }
         }
     }
 
-    /// Gives an instance its part of a limit, by the others that it believes to run.
+    /// Assigns an instance its share of a limit, based on the instances that it believes to be running.
     fn assign(&mut self, number: usize, endpoint: &str) {
         let now = self.moment();
         let Some(limit) = self.instances[number].limits.get(endpoint) else {
             return;
         };
-        let part = self.part(number, endpoint, limit);
-        self.instances[number].limits.assign(endpoint, part, now);
+        let share = self.share(number, endpoint, limit);
+        self.instances[number].limits.assign(endpoint, share, now);
     }
 
-    fn part(&self, number: usize, endpoint: &str, limit: Limit) -> Share {
-        if self.way == Way::Even {
+    fn share(&self, number: usize, endpoint: &str, limit: Limit) -> Share {
+        if self.strategy == Strategy::Even {
             let rate: f64 = limit.to_string().parse().unwrap_or_default();
             let interval = self.instances.len() as f64 / rate.max(0.001);
             return Share::Sender {
@@ -412,21 +424,22 @@
             };
         }
         let domain = self.instances[number].domain;
-        let place: usize = endpoint[2..].parse().unwrap_or_default();
-        if place % self.series.domains != domain {
+        let endpoint_index: usize = endpoint[2..].parse().unwrap_or_default();
+        if endpoint_index % self.scenario.domains != domain {
             return Share::NONE;
         }
-        let believed = |other: usize| {
-            other == number || self.instances[other].down_until < self.now + BELIEVED
+        let is_believed_up = |other: usize| {
+            other == number || self.instances[other].down_until < self.now + FAILURE_DETECTION_MS
         };
-        let near = (domain..self.instances.len()).step_by(self.series.domains);
-        let near = near.filter(|other| believed(*other));
-        let near: Vec<&str> = near.map(|other| &*self.names[other]).collect();
-        Share::of(limit, endpoint, &self.names[number], &near)
+        let local = (domain..self.instances.len()).step_by(self.scenario.domains);
+        let local = local.filter(|other| is_believed_up(*other));
+        let local: Vec<&str> = local.map(|other| &*self.names[other]).collect();
+        Share::of(limit, endpoint, &self.names[number], &local)
     }
 
-    /// A client asks an instance, which sends to an endpoint of its failure domain, or to any.
-    fn ask(&mut self) {
+    /// Simulates a client request to a random instance, which sends it to an endpoint of its failure domain, or to any
+    /// endpoint if none there is available.
+    fn send_request(&mut self) {
         let number = self.random.random_range(0..self.instances.len());
         if self.instances[number].down_until > self.now {
             return;
@@ -436,23 +449,23 @@
         let limits = &self.instances[number].limits;
         let open = |endpoint: &Endpoint| limits.wait(&endpoint.name, now).is_none();
         let all = 0..self.endpoints.len();
-        let near = (domain..self.endpoints.len()).step_by(self.series.domains);
-        let mut near: Vec<usize> = near.filter(|n| open(&self.endpoints[*n])).collect();
-        if near.is_empty() {
-            near = all.filter(|n| open(&self.endpoints[*n])).collect();
+        let candidates = (domain..self.endpoints.len()).step_by(self.scenario.domains);
+        let mut candidates: Vec<usize> = candidates.filter(|n| open(&self.endpoints[*n])).collect();
+        if candidates.is_empty() {
+            candidates = all.filter(|n| open(&self.endpoints[*n])).collect();
         }
         if self.is_limited_time() {
-            self.asked += 1;
-            self.refused += u64::from(near.is_empty());
+            self.requests += 1;
+            self.refused += u64::from(candidates.is_empty());
         }
-        if near.is_empty() {
+        if candidates.is_empty() {
             return;
         }
-        let chosen = near[self.random.random_range(0..near.len())];
+        let chosen = candidates[self.random.random_range(0..candidates.len())];
         let name = Arc::clone(&self.endpoints[chosen].name);
         let instance = &mut self.instances[number];
         instance.limits.record_send(&name, now);
-        let life = instance.began;
+        let started_at = instance.started_at;
         let after = self.random.random_range(1..20);
         let sent = self.now;
         self.push(
@@ -461,25 +474,25 @@
                 endpoint: chosen,
                 from: number,
                 sent,
-                life,
+                started_at,
             },
         );
     }
 
-    fn judge(mut self, limited_ms: u64) -> Seen {
-        let seconds = (limited_ms - SETTLED) as f64 / 1_000.0;
-        let limited = || self.endpoints.iter().filter(|e| e.named.is_some());
-        let got: u64 = limited().map(|e| e.limited_arrivals).sum();
-        let could: f64 = limited().map(|e| e.rate * seconds).sum();
+    fn measure(mut self, limited_ms: u64) -> Results {
+        let seconds = (limited_ms - SETTLING_MS) as f64 / 1_000.0;
+        let limited = || self.endpoints.iter().filter(|e| e.limited_at.is_some());
+        let received: u64 = limited().map(|e| e.limited_arrivals).sum();
+        let allowed: f64 = limited().map(|e| e.rate * seconds).sum();
         let mean = |list: Vec<u64>| list.iter().sum::<u64>() as f64 / list.len().max(1) as f64;
         let lifted = mean(limited().map(|e| e.later_arrivals).collect());
-        let others = self.endpoints.iter().filter(|e| e.named.is_none());
+        let others = self.endpoints.iter().filter(|e| e.limited_at.is_none());
         let others = mean(others.map(|e| e.later_arrivals).collect());
-        self.seen.used = got as f64 / could;
-        self.seen.regained = lifted / others.max(1.0);
-        self.seen.refused = self.refused as f64 / self.asked.max(1) as f64;
-        let told = self.messages as f64 * 1_000.0 / limited_ms as f64;
-        self.seen.messages = told / self.instances.len() as f64;
-        self.seen
+        self.results.utilisation = received as f64 / allowed;
+        self.results.recovery = lifted / others.max(1.0);
+        self.results.refused = self.refused as f64 / self.requests.max(1) as f64;
+        let messages_per_s = self.messages as f64 * 1_000.0 / limited_ms as f64;
+        self.results.messages = messages_per_s / self.instances.len() as f64;
+        self.results
     }
 }
--- a/crates/ploverwick_endpoints/tests/many_endpoints.rs
+++ b/crates/ploverwick_endpoints/tests/many_endpoints.rs
@@ -1,5 +1,5 @@
-//! Three thousand endpoints before a hundred peers that report: a choice among the holders of an adapter is
-//! the one that ranks all, and sums of reports are those of the reports that count.
+//! Tests with 3,000 endpoints and 100 reporting peers: selection among the endpoints that hold an adapter agrees
+//! with the full ranking, and summed loads match the reports that have not expired.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 
 const ENDPOINTS: usize = 3_000;
 const PEERS: usize = 100;
-/// Longer than a report counts.
-const LAPSED: Duration = Duration::from_millis(2_600);
+/// Longer than the maximum age of a report.
+const EXPIRY: Duration = Duration::from_millis(2_600);
 
 fn id(number: usize) -> Arc<str> {
     Arc::from(format!("i-{number}"))
@@ -62,7 +62,7 @@
     loads.collect()
 }
 
-/// Makes the fleet, some of its endpoints failing.
+/// Returns a fleet in which some endpoints are ejected.
 fn fleet(random: &mut StdRng, now: Moment) -> Fleet {
     let mut fleet = Fleet::default();
     for number in 0..ENDPOINTS {
@@ -81,7 +81,7 @@
 }
 
 #[googletest::test]
-fn best_is_first() {
+fn best_is_first_ranked_holder() {
     let mut random = StdRng::seed_from_u64(1);
     let now = Moment(5_000);
     let fleet = fleet(&mut random, now);
@@ -99,9 +99,9 @@
     }
 }
 
-/// Those that are left out come only if there are no others at all.
+/// Guards against selecting an ejected holder while any other endpoint of the service is healthy.
 #[googletest::test]
-fn failing_come_last() {
+fn ejected_holder_is_last_resort() {
     let now = Moment(5_000);
     let mut fleet = Fleet::default();
     fleet.put(entry(1));
@@ -121,34 +121,34 @@
 }
 
 #[googletest::test]
-fn sums_are_of_reports() {
+fn load_is_sum_of_current_reports() {
     let mut random = StdRng::seed_from_u64(2);
     let mut now = Moment(5_000);
     let mut fleet = fleet(&mut random, now);
     for round in 0..300 {
         now = now + Duration::from_millis(random.random_range(1..60));
         if round % 100 == 99 {
-            now = now + LAPSED;
+            now = now + EXPIRY;
         }
         let peer = format!("p{}", random.random_range(0..PEERS));
         fleet.record_report(Arc::from(peer), loads(&mut random), now);
     }
-    // What came before the last lapse counts no more.
-    now = now + LAPSED;
+    // Reports from before the last expiry no longer count.
+    now = now + EXPIRY;
     let last = loads(&mut random);
     fleet.record_report(Arc::from("p0"), last.clone(), now);
     for number in 0..ENDPOINTS {
         let expected = last.get(&id(number)).copied().unwrap_or_default();
         expect_that!(fleet.reported_load(&id(number), now), eq(expected));
     }
-    let later = now + LAPSED;
+    let later = now + EXPIRY;
     let busy = (0..ENDPOINTS).filter(|n| fleet.reported_load(&id(*n), later) != Load::default());
     expect_that!(busy.count(), eq(0));
 }
 
-/// The digest is that of the list as it stands, whatever came and went before.
+/// Guards against a digest that depends on earlier changes to the list rather than only on its entries.
 #[googletest::test]
-fn digest_is_of_list() {
+fn digest_is_independent_of_history() {
     let mut random = StdRng::seed_from_u64(3);
     let mut fleet = Fleet::default();
     let mut listed: HashMap<usize, Entry> = HashMap::new();
@@ -161,7 +161,7 @@
         }
         let mut entry = entry(number);
         entry.slots = random.random_range(1..20);
-        // One that leaves stays so until it is taken off the list.
+        // A draining endpoint stays draining until it is removed from the list.
         let is_leaving = listed.get(&number).map(|before| before.state);
         if is_leaving == Some(State::Draining) || random.random::<f64>() < 0.1 {
             entry.state = State::Draining;
--- a/crates/ploverwick_endpoints/tests/retry_budget.rs
+++ b/crates/ploverwick_endpoints/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats over a sliding window.
+//! Tests the retry budget over a sliding window.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 use ploverwick_endpoints::{Budget, InstanceCount, RetryPolicy};
 use ploverwick_names::Moment;
 
-const RATE: RetryPolicy = RetryPolicy {
+const POLICY: RetryPolicy = RetryPolicy {
     ratio: 0.2,
     allowance: 60.0,
     window: Duration::from_secs(10),
 };
 
-/// More than a window after the number of instances became known.
-const LATER: Moment = Moment(20_000);
+/// More than a window after the number of instances was first recorded.
+const AFTER_WINDOW: Moment = Moment(20_000);
 
-/// Returns what an instance knows that has known for long that there are so many.
-fn shared_by(instances: usize) -> InstanceCount {
+/// Returns an instance count that has been known for a long time.
+fn known_instances(instances: usize) -> InstanceCount {
     let mut instance_count = InstanceCount::default();
-    instance_count.record(instances, RATE, Moment(0));
+    instance_count.record(instances, POLICY, Moment(0));
     instance_count
 }
 
 #[googletest::test]
-fn allowance_is_shared() {
-    let instance_count = shared_by(6);
+fn allowance_is_divided_between_instances() {
+    let instance_count = known_instances(6);
     let mut budget = Budget::default();
     let granted = (0..100)
         .filter(|_| {
             budget
-                .try_retry(RATE, &instance_count, LATER)
+                .try_retry(POLICY, &instance_count, AFTER_WINDOW)
                 .allows_retry()
         })
         .count();
@@ -38,16 +38,20 @@
 }
 
 #[googletest::test]
-fn requests_earn_repeats() {
-    let instance_count = shared_by(6);
+fn requests_earn_retries() {
+    let instance_count = known_instances(6);
     let mut budget = Budget::default();
     for _ in 0..500 {
-        budget.record_request(LATER);
+        budget.record_request(AFTER_WINDOW);
     }
     let granted = (0..500)
         .filter(|_| {
             budget
-                .try_retry(RATE, &instance_count, LATER + Duration::from_millis(100))
+                .try_retry(
+                    POLICY,
+                    &instance_count,
+                    AFTER_WINDOW + Duration::from_millis(100),
+                )
                 .allows_retry()
         })
         .count();
@@ -55,11 +59,11 @@
     expect_that!(granted, ge(80));
 }
 
-/// In no window are there more repeats than the bound, however they come.
+/// Guards against more retries than the bound in any window while the load starts and stops.
 #[googletest::test]
-fn every_window_holds() {
+fn every_window_is_within_bound() {
     let mut budget = Budget::default();
-    let instance_count = shared_by(1);
+    let instance_count = known_instances(1);
     let mut granted: Vec<u64> = Vec::new();
     for at in (0..60_000).step_by(50) {
         let busy = (at / 7_000) % 2 == 0;
@@ -67,7 +71,7 @@
             budget.record_request(Moment(at));
         }
         if budget
-            .try_retry(RATE, &instance_count, Moment(at))
+            .try_retry(POLICY, &instance_count, Moment(at))
             .allows_retry()
         {
             granted.push(at);
@@ -76,7 +80,7 @@
     for start in (0..60_000_u64).step_by(100) {
         let window = start..start + 10_000;
         let count = granted.iter().filter(|at| window.contains(at)).count();
-        // At most 200 requests lie in a window: 0.2 x 200 + 60.
+        // A window contains at most 200 requests: 0.2 x 200 + 60.
         expect_that!(count, le(100));
     }
 }
--- a/crates/ploverwick_limits/tests/limit_rate.rs
+++ b/crates/ploverwick_limits/tests/limit_rate.rs
@@ -1,4 +1,4 @@
-//! A limit admits its rate and no more, and says when to come back.
+//! Tests that a limit admits exactly its rate and returns when to retry.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 }
 
 #[googletest::test]
-fn rate_is_kept() {
+fn rate_is_admitted() {
     let mut rates = RateLimiter::default();
     let take = |rates: &mut RateLimiter, at| rates.take(&Subject::All, &column(), 5.0, Moment(at));
     let admitted = (0..10_000_u64)
         .step_by(10)
         .filter(|at| take(&mut rates, *at).is_ok());
-    // Five a second for ten seconds, and the first burst.
+    // Five per second for ten seconds, plus the initial burst.
     expect_that!(admitted.count(), all!(ge(50), le(56)));
 }
 
 #[googletest::test]
-fn hint_tells_when() {
+fn error_contains_time_until_next_token() {
     let mut rates = RateLimiter::default();
     expect_that!(
         rates.take(&Subject::All, &column(), 1.0, Moment(0)),
@@ -38,14 +38,14 @@
 }
 
 #[googletest::test]
-fn zero_admits_none() {
+fn zero_rate_admits_nothing() {
     let mut rates = RateLimiter::default();
     let taken = rates.take(&Subject::All, &column(), 0.0, Moment(5_000));
     expect_that!(taken, err(anything()));
 }
 
 #[googletest::test]
-fn bucket_holds_burst() {
+fn bucket_holds_at_most_burst() {
     let mut bucket = Bucket::new(0.0, Moment(0));
     bucket.refill(10.0, 3.0, Moment(60_000));
     expect_that!(bucket.whole_tokens(), eq(3));
