--- a/crates/ploverwick_placement/src/lib.rs
+++ b/crates/ploverwick_placement/src/lib.rs
@@ -1,12 +1,12 @@
 //! Chooses instances and endpoints by weighted rendezvous hashing.
 //!
-//! Every process that knows the same candidates makes the same choice without a message, and a
-//! candidate that comes or goes moves only its own share. The hash is XXH3 with 64 bits and is
-//! part of the protocol between daemons: changing it moves every key.
+//! Every process that knows the same candidates makes the same choice without communication, and
+//! adding or removing a candidate moves only that candidate's share of the keys. The hash is 64-bit
+//! XXH3 and part of the protocol between daemons: changing it moves every key.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The seed of the hash, so that these choices are unrelated to other uses of XXH3.
+/// The hash seed, which makes these choices independent of other uses of XXH3.
 const SEED: u64 = 0x70_6c_6f_76_65_72;
 
 /// The number of distinct fractions that a hash is reduced to: the mantissa of an `f64`.
@@ -18,17 +18,17 @@
 pub struct Candidate<'a> {
     /// The candidate's name.
     pub name: &'a str,
-    /// Its share relative to the other candidates, above 0.
+    /// The candidate's share relative to the others; must be greater than 0.
     pub weight: f64,
 }
 
-/// Makes candidates with equal shares.
+/// Creates candidates with equal shares.
 pub fn even<'a>(names: impl IntoIterator<Item = &'a str>) -> Vec<Candidate<'a>> {
     let names = names.into_iter();
     names.map(|name| Candidate { name, weight: 1.0 }).collect()
 }
 
-/// Scores a candidate for a key; the highest score is chosen first.
+/// Returns a candidate's score for a key; the candidate with the highest score is chosen.
 pub fn score(key: &str, candidate: &Candidate<'_>) -> f64 {
     let key_hash = xxh3_64_with_seed(key.as_bytes(), SEED);
     score_hashed(key_hash, candidate)
@@ -36,7 +36,7 @@
 
 fn score_hashed(key_hash: u64, candidate: &Candidate<'_>) -> f64 {
     let hash = xxh3_64_with_seed(candidate.name.as_bytes(), key_hash);
-    // The half keeps the fraction inside (0, 1), where the logarithm is finite and negative.
+    // Adding 0.5 keeps the fraction inside (0, 1), where the logarithm is finite and negative.
     let fraction = ((hash >> FRACTION_SHIFT) as f64 + 0.5) / FRACTIONS;
     -candidate.weight / fraction.ln()
 }
@@ -51,7 +51,7 @@
         .map(|(_, index)| index)
 }
 
-/// Returns the indexes of the first `count` candidates for a key, best first.
+/// Returns the indexes of the `count` highest-scoring candidates for a key, best first.
 pub fn rank(key: &str, candidates: &[Candidate<'_>], count: usize) -> Vec<usize> {
     let key_hash = xxh3_64_with_seed(key.as_bytes(), SEED);
     let mut scored: Vec<(f64, usize)> = candidates
--- a/crates/ploverwick_placement/tests/small_moves.rs
+++ b/crates/ploverwick_placement/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! The choice is even, follows weights, and moves little.
+//! Choices are evenly distributed, follow weights, and change little when candidates change.
 
 use googletest::prelude::*;
 use ploverwick_placement::{Candidate, choose, rank};
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn rank_begins_with_choice() {
+fn rank_starts_with_choice() {
     let names = names(9);
     let all = candidates(&names);
     let order = rank("key", &all, 4);
@@ -76,7 +76,7 @@
 
 #[gtest]
 fn pinned_hash() {
-    // Daemons of different builds have to agree: these values are part of the protocol.
+    // Daemons of different builds must agree: these values are part of the protocol.
     let names = names(4);
     let order: Vec<usize> = rank("fr-grade@v3", &candidates(&names), 4);
     expect_that!(order, eq(&PINNED));
