--- a/crates/ploverwick_adapters/src/directory.rs
+++ b/crates/ploverwick_adapters/src/directory.rs
@@ -1,4 +1,4 @@
-//! What endpoints hold, as far as one instance has heard.
+//! Tracks which endpoints hold which adapters, as known to one instance.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -7,97 +7,101 @@
 use ploverwick_names::Moment;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{Copy, Key, Lineage, Since};
+use crate::{Copy, Key, Since, VersionHistory};
 
-/// How long a placer's word goes before the platform's list, which lags behind.
-const WORD_AGE: Duration = Duration::from_secs(4);
-/// How long an adapter that is on its way is waited for before it is asked for again.
-const COMING_AGE: Duration = Duration::from_millis(1_200);
-/// Adapters whose earlier endpoints are remembered.
-const PAST: usize = 8_192;
-/// Earlier endpoints of one adapter that are remembered.
-const PAST_ENDPOINTS: usize = 6;
+/// How long a placer's report takes precedence over the platform's listing, which lags behind.
+const REPORT_PRECEDENCE: Duration = Duration::from_secs(4);
+/// How long to wait for an adapter that is being loaded before requesting it again.
+const LOADING_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The number of adapters whose previous endpoints are kept.
+const MAX_PREVIOUS_ADAPTERS: usize = 8_192;
+/// The number of previous endpoints kept for each adapter.
+const MAX_PREVIOUS_ENDPOINTS: usize = 6;
 
 #[derive(Debug, Default)]
-struct Holding {
+struct EndpointState {
     copies: HashSet<Copy>,
-    heard: Option<Moment>,
+    reported_at: Option<Moment>,
 }
 
-/// Which endpoint holds which adapter.
+/// Maps adapters to the endpoints that hold them.
 #[derive(Debug, Default)]
 pub struct Directory {
-    endpoints: HashMap<Arc<str>, Holding>,
+    endpoints: HashMap<Arc<str>, EndpointState>,
     holders: HashMap<Key, Vec<(u64, Arc<str>)>>,
-    /// The endpoints that unloaded an adapter, the last one first.
-    past: HashMap<Copy, Vec<Arc<str>>>,
-    past_order: VecDeque<Copy>,
-    lineages: HashMap<Key, Lineage>,
-    coming: HashMap<Copy, (Arc<str>, Moment)>,
+    /// The endpoints that unloaded an adapter, most recent first.
+    previous_holders: HashMap<Copy, Vec<Arc<str>>>,
+    insertion_order: VecDeque<Copy>,
+    histories: HashMap<Key, VersionHistory>,
+    loading: HashMap<Copy, (Arc<str>, Moment)>,
 }
 
 impl Directory {
-    /// Takes in the platform's list, unless a placer said something lately.
-    pub fn listed(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, now: Moment) {
-        let heard = self.endpoints.get(endpoint).and_then(|h| h.heard);
-        if heard.is_some_and(|at| now.since(at) < WORD_AGE) {
+    /// Applies the platform's listing of an endpoint, unless a placer reported on it recently.
+    pub fn apply_listing(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, now: Moment) {
+        let reported_at = self
+            .endpoints
+            .get(endpoint)
+            .and_then(|state| state.reported_at);
+        if reported_at.is_some_and(|at| now.since(at) < REPORT_PRECEDENCE) {
             return;
         }
-        self.replace(endpoint, copies, heard);
+        self.replace(endpoint, copies, reported_at);
     }
 
-    /// Takes in a placer's whole list of an endpoint.
-    pub fn reported(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, now: Moment) {
+    /// Applies a placer's full list of the adapters at an endpoint.
+    pub fn apply_report(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, now: Moment) {
         self.replace(endpoint, copies, Some(now));
     }
 
-    /// Takes in that an adapter is on its way to an endpoint.
-    pub fn expect(&mut self, endpoint: &Arc<str>, copy: Copy, now: Moment) {
-        self.coming.retain(|_, (_, at)| now.since(*at) < COMING_AGE);
-        self.coming.insert(copy, (Arc::clone(endpoint), now));
+    /// Records that an endpoint is loading an adapter.
+    pub fn mark_loading(&mut self, endpoint: &Arc<str>, copy: Copy, now: Moment) {
+        self.loading
+            .retain(|_, (_, at)| now.since(*at) < LOADING_TIMEOUT);
+        self.loading.insert(copy, (Arc::clone(endpoint), now));
     }
 
-    /// Returns the endpoint to which an adapter is on its way.
-    pub fn coming(&self, copy: &Copy, now: Moment) -> Option<&Arc<str>> {
-        let (endpoint, at) = self.coming.get(copy)?;
-        (now.since(*at) < COMING_AGE).then_some(endpoint)
+    /// Returns the endpoint that is loading an adapter.
+    pub fn loading_on(&self, copy: &Copy, now: Moment) -> Option<&Arc<str>> {
+        let (endpoint, at) = self.loading.get(copy)?;
+        (now.since(*at) < LOADING_TIMEOUT).then_some(endpoint)
     }
 
-    /// Takes in that an endpoint holds an adapter from now on.
-    pub fn loaded(&mut self, endpoint: &Arc<str>, copy: Copy, now: Moment) {
-        let holding = self.endpoints.entry(Arc::clone(endpoint)).or_default();
-        holding.heard = Some(now);
-        self.coming.remove(&copy);
-        if holding.copies.insert(copy.clone()) {
+    /// Records that an endpoint now holds an adapter.
+    pub fn mark_loaded(&mut self, endpoint: &Arc<str>, copy: Copy, now: Moment) {
+        let state = self.endpoints.entry(Arc::clone(endpoint)).or_default();
+        state.reported_at = Some(now);
+        self.loading.remove(&copy);
+        if state.copies.insert(copy.clone()) {
             let list = self.holders.entry(copy.key).or_default();
             list.push((copy.version, Arc::clone(endpoint)));
         }
     }
 
-    /// Takes in that an endpoint does not hold an adapter in this version.
-    pub fn unloaded(&mut self, endpoint: &Arc<str>, copy: &Copy) {
-        if let Some(holding) = self.endpoints.get_mut(endpoint) {
-            holding.copies.remove(copy);
+    /// Records that an endpoint no longer holds an adapter in this version.
+    pub fn mark_unloaded(&mut self, endpoint: &Arc<str>, copy: &Copy) {
+        if let Some(state) = self.endpoints.get_mut(endpoint) {
+            state.copies.remove(copy);
         }
-        self.forget(endpoint, copy);
+        self.remove_holder(endpoint, copy);
     }
 
-    /// Takes in that what is known of an endpoint agrees with its placer's word.
-    pub fn confirmed(&mut self, endpoint: &str, now: Moment) {
-        if let Some(holding) = self.endpoints.get_mut(endpoint) {
-            holding.heard = Some(now);
+    /// Records that the known state of an endpoint matches its placer's report.
+    pub fn confirm_report(&mut self, endpoint: &str, now: Moment) {
+        if let Some(state) = self.endpoints.get_mut(endpoint) {
+            state.reported_at = Some(now);
         }
     }
 
-    /// Lists what an endpoint holds; `None` if nothing was heard of it.
+    /// Returns the adapters that an endpoint holds; `None` if the endpoint is unknown.
     pub fn held(&self, endpoint: &str) -> Option<Vec<Copy>> {
-        let holding = self.endpoints.get(endpoint)?;
-        Some(holding.copies.iter().cloned().collect())
+        let state = self.endpoints.get(endpoint)?;
+        Some(state.copies.iter().cloned().collect())
     }
 
-    /// Returns a digest of what an endpoint holds; `None` if nothing was heard of it.
+    /// Returns a digest of the adapters that an endpoint holds; `None` if the endpoint is unknown.
     ///
-    /// Instances compare it, so that it is XXH3 with 64 bits and part of their protocol.
+    /// Instances compare digests, so the hash, 64-bit XXH3, is part of the protocol between them.
     pub fn digest(&self, endpoint: &str) -> Option<u64> {
         let copies = &self.endpoints.get(endpoint)?.copies;
         let lines = copies
@@ -108,68 +112,70 @@
         Some(xxh3_64(lines.join("\n").as_bytes()))
     }
 
-    /// Takes in that an endpoint is gone.
+    /// Removes an endpoint that is gone.
     pub fn remove(&mut self, endpoint: &Arc<str>) {
-        if let Some(holding) = self.endpoints.remove(endpoint) {
-            for copy in holding.copies {
-                self.forget(endpoint, &copy);
+        if let Some(state) = self.endpoints.remove(endpoint) {
+            for copy in state.copies {
+                self.remove_holder(endpoint, &copy);
             }
         }
     }
 
-    /// Lists the endpoints that hold an adapter in this version.
+    /// Returns the endpoints that hold an adapter in this version.
     pub fn holders(&self, key: &Key, version: u64) -> Vec<Arc<str>> {
         let list = self.holders.get(key).map_or(&[][..], Vec::as_slice);
         let matching = list.iter().filter(|(v, _)| *v == version);
         matching.map(|(_, endpoint)| Arc::clone(endpoint)).collect()
     }
 
-    /// Returns whether an endpoint holds an adapter in any version.
+    /// Returns whether an endpoint holds any version of an adapter.
     pub fn holds_any(&self, endpoint: &str, key: &Key) -> bool {
         let list = self.holders.get(key).map_or(&[][..], Vec::as_slice);
         list.iter().any(|(_, holder)| &**holder == endpoint)
     }
 
     /// Returns the newest version below `version` that some endpoint holds.
-    pub fn older(&self, key: &Key, version: u64) -> Option<u64> {
+    pub fn newest_held_below(&self, key: &Key, version: u64) -> Option<u64> {
         let list = self.holders.get(key)?;
         let below = list.iter().map(|(v, _)| *v).filter(|v| *v < version);
         below.max()
     }
 
-    /// Lists the endpoints that unloaded an adapter, the last one first; they load it fast.
-    pub fn past(&self, copy: &Copy) -> &[Arc<str>] {
-        self.past.get(copy).map_or(&[], Vec::as_slice)
+    /// Returns the endpoints that unloaded an adapter, most recent first; they can reload it
+    /// quickly.
+    pub fn previous_holders(&self, copy: &Copy) -> &[Arc<str>] {
+        self.previous_holders.get(copy).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in that a version was declared. Returns whether it is newer than those known.
+    /// Records the declaration of a version. Returns whether it is newer than all known ones.
     pub fn declare(&mut self, copy: Copy, since: Since) -> bool {
-        let lineage = self.lineages.entry(copy.key).or_default();
-        lineage.declare(copy.version, since)
+        let history = self.histories.entry(copy.key).or_default();
+        history.declare(copy.version, since)
     }
 
     /// Returns the newest version of an adapter.
     ///
-    /// An adapter of which nothing was declared is in its first version.
+    /// An adapter without declarations is at version 1.
     pub fn newest(&self, key: &Key) -> u64 {
-        self.lineages.get(key).map_or(1, Lineage::newest)
+        self.histories.get(key).map_or(1, VersionHistory::newest)
     }
 
-    /// Returns since when there has been a newer version; `None` if it is the newest.
-    pub fn replaced(&self, copy: &Copy) -> Option<Since> {
-        self.lineages.get(&copy.key)?.replaced(copy.version)
+    /// Returns the earliest time at which a version may have been replaced; `None` if it is the
+    /// newest.
+    pub fn replaced_since(&self, copy: &Copy) -> Option<Since> {
+        self.histories.get(&copy.key)?.replaced_since(copy.version)
     }
 
-    fn replace(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, heard: Option<Moment>) {
+    fn replace(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, reported_at: Option<Moment>) {
         let copies: HashSet<Copy> = copies.into_iter().collect();
-        let holding = self.endpoints.entry(Arc::clone(endpoint)).or_default();
-        holding.heard = heard;
-        if holding.copies == copies {
+        let state = self.endpoints.entry(Arc::clone(endpoint)).or_default();
+        state.reported_at = reported_at;
+        if state.copies == copies {
             return;
         }
-        let before = std::mem::replace(&mut holding.copies, copies.clone());
+        let before = std::mem::replace(&mut state.copies, copies.clone());
         for copy in before.difference(&copies) {
-            self.forget(endpoint, copy);
+            self.remove_holder(endpoint, copy);
         }
         for copy in copies.difference(&before) {
             let list = self.holders.entry(copy.key.clone()).or_default();
@@ -177,7 +183,7 @@
         }
     }
 
-    fn forget(&mut self, endpoint: &Arc<str>, copy: &Copy) {
+    fn remove_holder(&mut self, endpoint: &Arc<str>, copy: &Copy) {
         let Some(list) = self.holders.get_mut(&copy.key) else {
             return;
         };
@@ -185,21 +191,21 @@
         if list.is_empty() {
             self.holders.remove(&copy.key);
         }
-        self.remember(endpoint, copy);
+        self.record_previous_holder(endpoint, copy);
     }
 
-    fn remember(&mut self, endpoint: &Arc<str>, copy: &Copy) {
-        if !self.past.contains_key(copy) {
-            self.past_order.push_back(copy.clone());
+    fn record_previous_holder(&mut self, endpoint: &Arc<str>, copy: &Copy) {
+        if !self.previous_holders.contains_key(copy) {
+            self.insertion_order.push_back(copy.clone());
         }
-        let past = self.past.entry(copy.clone()).or_default();
-        past.retain(|id| id != endpoint);
-        past.insert(0, Arc::clone(endpoint));
-        past.truncate(PAST_ENDPOINTS);
-        if self.past_order.len() > PAST
-            && let Some(oldest) = self.past_order.pop_front()
+        let previous = self.previous_holders.entry(copy.clone()).or_default();
+        previous.retain(|id| id != endpoint);
+        previous.insert(0, Arc::clone(endpoint));
+        previous.truncate(MAX_PREVIOUS_ENDPOINTS);
+        if self.insertion_order.len() > MAX_PREVIOUS_ADAPTERS
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.past.remove(&oldest);
+            self.previous_holders.remove(&oldest);
         }
     }
 }
--- a/crates/ploverwick_adapters/src/key.rs
+++ b/crates/ploverwick_adapters/src/key.rs
@@ -1,16 +1,16 @@
-//! What names an adapter.
+//! Identifiers of adapters and their versions.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// An adapter of a base model.
+/// Identifies an adapter by name and base model.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The base model.
+    /// The base model's name.
     pub model: Arc<str>,
-    /// The adapter.
+    /// The adapter's name.
     pub adapter: Arc<str>,
 }
 
@@ -20,17 +20,17 @@
     }
 }
 
-/// An adapter in one version, as it takes a place at an endpoint.
+/// One version of an adapter, as held in a slot of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Copy {
     /// The adapter.
     pub key: Key,
-    /// Its version.
+    /// The version number.
     pub version: u64,
 }
 
 impl Copy {
-    /// Makes a copy of its parts.
+    /// Creates a copy from the names of the base model and the adapter and the version.
     pub fn of(model: &Arc<str>, adapter: Arc<str>, version: u64) -> Self {
         let key = Key {
             model: Arc::clone(model),
--- a/crates/ploverwick_adapters/src/lib.rs
+++ b/crates/ploverwick_adapters/src/lib.rs
@@ -1,31 +1,31 @@
-//! Where adapters are held, and which endpoint loads one next.
+//! Tracks which endpoints hold which adapters and decides where to load them.
 //!
-//! Every instance keeps a [`Directory`] of what endpoints hold. In each failure domain one
-//! instance at a time, the placer, gives orders to the endpoints of its domain: it keeps a
-//! [`Shelf`] for each and holds the [`Tenure`] that entitles it to do so.
+//! Every instance keeps a [`Directory`] of the adapters held by each endpoint. In each failure
+//! domain, one instance at a time is the placer: it holds the [`Lease`] that permits it to send
+//! orders to the endpoints of its domain, and keeps the [`Slots`] of each of them.
 
 mod directory;
-mod home;
-mod horizon;
+mod domain;
 mod key;
-mod lineage;
+mod lease;
+mod load_limit;
 mod order;
-mod pace;
 mod placer;
-mod shelf;
-mod supersession;
-mod tenure;
+mod slots;
+mod staleness;
+mod version_history;
+mod watermark;
 mod window;
 
 pub use directory::Directory;
-pub use home::{Domain, home};
-pub use horizon::Horizon;
+pub use domain::{Domain, choose_domain};
 pub use key::{Copy, Key};
-pub use lineage::{Lineage, Since};
+pub use lease::{Grant, Lease, LeasePolicy};
+pub use load_limit::{LoadLimit, LoadLimiter};
 pub use order::{Answer, Op, Order, Report};
-pub use pace::{Ceiling, Pace};
-pub use placer::{Need, Placer, Site};
-pub use shelf::{Event, Shelf, Step};
-pub use supersession::Supersession;
-pub use tenure::{Grant, Tenure, Terms};
+pub use placer::{Need, Placer, Target};
+pub use slots::{Event, Slots, Step};
+pub use staleness::StalenessPolicy;
+pub use version_history::{Since, VersionHistory};
+pub use watermark::Watermark;
 pub use window::Window;
--- a/crates/ploverwick_adapters/src/order.rs
+++ b/crates/ploverwick_adapters/src/order.rs
@@ -1,10 +1,10 @@
-//! Orders to endpoints, and what endpoints say about them.
+//! Load and unload orders to endpoints, and the endpoints' answers and reports.
 
 use std::sync::Arc;
 
 use crate::Copy;
 
-/// What an order does.
+/// The operation of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op {
     /// Loads a base model or an adapter.
@@ -13,31 +13,32 @@
     Unload,
 }
 
-/// One order.
+/// An order to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// What it does.
+    /// The operation.
     pub op: Op,
-    /// The base model.
+    /// The base model's name.
     pub model: Arc<str>,
-    /// The adapter and its version; `None` for the base model itself.
+    /// The adapter's name and version; `None` for the base model itself.
     pub adapter: Option<(Arc<str>, u64)>,
-    /// The number of accepted orders at which it holds; at any other it must not be carried out.
+    /// The sequence number at which the order is valid: an endpoint carries it out only if it has
+    /// accepted exactly this many orders.
     pub after: Option<u64>,
 }
 
 impl Order {
-    /// Makes an order to load an adapter that holds at a number of accepted orders.
+    /// Creates an order to load an adapter, valid after `after` accepted orders.
     pub fn load(copy: &Copy, after: u64) -> Self {
         Self::of(Op::Load, copy, after)
     }
 
-    /// Makes an order to unload an adapter that holds at a number of accepted orders.
+    /// Creates an order to unload an adapter, valid after `after` accepted orders.
     pub fn unload(copy: &Copy, after: u64) -> Self {
         Self::of(Op::Unload, copy, after)
     }
 
-    /// Makes an order to load a base model that holds at a number of accepted orders.
+    /// Creates an order to load a base model, valid after `after` accepted orders.
     pub fn load_base(model: &Arc<str>, after: u64) -> Self {
         Self {
             op: Op::Load,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Returns the adapter that it is about; `None` for a base model.
+    /// Returns the adapter to load or unload; `None` for a base model.
     pub fn copy(&self) -> Option<Copy> {
         let (adapter, version) = self.adapter.clone()?;
         Some(Copy::of(&self.model, adapter, version))
@@ -63,36 +64,36 @@
     }
 }
 
-/// How an endpoint answered an order.
+/// An endpoint's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// It is being carried out.
+    /// The endpoint is carrying out the order.
     Accepted,
-    /// It holds already, or was carried out at once.
+    /// The order was already fulfilled, or was completed immediately.
     Done,
-    /// Another order is under way, or the number of accepted orders differs.
+    /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
-    /// A higher fencing token was seen.
+    /// The endpoint has seen a higher fencing token.
     Fenced,
-    /// Another endpoint is at the address, or nothing is.
+    /// Another endpoint is at the address, or none is.
     Gone,
-    /// The endpoint does not know what was ordered.
+    /// The endpoint does not know the model or adapter.
     Invalid,
-    /// There was no answer: it may have been accepted, or may be later.
+    /// No answer arrived; the order may have been accepted, or may still be.
     Unknown,
 }
 
-/// What an endpoint says of itself.
+/// An endpoint's report of its own state.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Report {
-    /// The orders that it has accepted.
+    /// The number of orders that it has accepted.
     pub orders: u64,
-    /// An order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
     /// The base models that it holds.
     pub models: Vec<Arc<str>>,
     /// The adapters that it holds.
     pub held: Vec<Copy>,
-    /// The adapters on their way.
-    pub coming: Vec<Copy>,
+    /// The adapters that it is loading.
+    pub loading: Vec<Copy>,
 }
--- a/crates/ploverwick_adapters/src/placer.rs
+++ b/crates/ploverwick_adapters/src/placer.rs
@@ -1,4 +1,4 @@
-//! Which endpoint of a failure domain loads an adapter.
+//! Chooses the endpoint of a failure domain that loads an adapter.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,196 +8,227 @@
 use ploverwick_placement::{Candidate, even, rank, score};
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, Copy, Event, Order, Shelf, Window};
-
-/// The endpoints of a failure domain, by hash, among which an adapter is placed. Few, so that it
-/// comes back to one that has it at hand, also after all instances were restarted.
-const HOMES: usize = 4;
-// What counts for and against an endpoint, in tenths of a second until it serves the adapter.
-
-/// A load on its way there: it takes an order's turn.
-const BACKLOG: f64 = 0.15;
-/// An adapter that waits there for a place: of nine in use for two seconds one becomes free each 0.2 s.
-const WAITING: f64 = 2.0;
-/// The hash of adapter and endpoint, times a number between 0 and 3: it decides between equals, so
-/// that an adapter comes back where it was, also when nobody remembers.
-const HASH: f64 = 0.3;
-/// A second of prompts that are to be read first.
-const WAIT: f64 = 10.0;
-/// No place free or unused: a run has to end first.
-const NO_ROOM: f64 = 6.0;
-/// The adapter is at hand there: 0.23 s less, and the weight store is left to adapters that only it has.
-const PAST: f64 = 12.0;
-
-/// Why an adapter is asked for.
+use crate::{Answer, Copy, Event, Order, Slots, Window};
+
+/// The number of endpoints, by hash, among which an adapter is placed. It is small so that the
+/// adapter returns to an endpoint that has it cached, even after all instances were restarted.
+const PREFERRED_ENDPOINTS: usize = 4;
+// Costs and bonuses of an endpoint, in tenths of a second until it can serve the adapter.
+
+/// The cost of each load running at the endpoint, which delays the next order.
+const LOADING_COST: f64 = 0.15;
+/// The cost of each adapter waiting there for a slot: of nine slots in use for two seconds each,
+/// one becomes free every 0.2 s.
+const WAITING_COST: f64 = 2.0;
+/// The weight of the hash of adapter and endpoint, a value between 0 and 3. It decides between
+/// equal endpoints, so that an adapter returns to its previous endpoint even when no instance
+/// remembers it.
+const HASH_WEIGHT: f64 = 0.3;
+/// The cost of each second of queued prompts.
+const PROMPT_WAIT_COST: f64 = 10.0;
+/// The cost of an endpoint where every slot is in use: a request must finish first.
+const NO_ROOM_COST: f64 = 6.0;
+/// The bonus of an endpoint that has the adapter cached: it loads 0.23 s faster, and the weight
+/// store is left to adapters that are available only there.
+const CACHED_BONUS: f64 = 12.0;
+
+/// Why an adapter is requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Need {
-    /// A request has no endpoint that holds it.
+    /// No endpoint that holds the adapter is available to a request.
     Any,
-    /// A request cannot use those that hold it.
+    /// A request cannot use the endpoints that hold the adapter.
     Another,
 }
 
-/// An endpoint as the placer sees it.
+/// An endpoint at which an adapter may be placed.
 #[derive(Debug, Clone)]
-pub struct Site {
-    /// The endpoint.
+pub struct Target {
+    /// The endpoint's name.
     pub endpoint: Arc<str>,
-    /// How long a request would wait there for the prompts of others.
+    /// How long a request would wait there for queued prompts of other requests.
     pub wait: Duration,
 }
 
-/// The shelves of the endpoints of one failure domain.
+/// Places adapters at the endpoints of one failure domain.
 #[derive(Debug, Default)]
 pub struct Placer {
-    shelves: HashMap<Arc<str>, Shelf>,
+    endpoints: HashMap<Arc<str>, Slots>,
     window: Window,
 }
 
 impl Placer {
-    /// Adds an endpoint; nothing changes if it is there.
+    /// Adds an endpoint, unless it is already known.
     pub fn add(&mut self, endpoint: &Arc<str>, capacity: usize, now: Moment) {
-        self.shelves
+        self.endpoints
             .entry(Arc::clone(endpoint))
-            .or_insert_with(|| Shelf::new(capacity, now));
+            .or_insert_with(|| Slots::new(capacity, now));
     }
 
-    /// Takes an endpoint away.
+    /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: &str) {
-        self.shelves.remove(endpoint);
+        self.endpoints.remove(endpoint);
     }
 
-    /// Forgets all endpoints.
+    /// Removes all endpoints.
     pub fn clear(&mut self) {
-        self.shelves.clear();
+        self.endpoints.clear();
     }
 
-    /// Returns an endpoint's shelf.
-    pub fn shelf(&mut self, endpoint: &str) -> Option<&mut Shelf> {
-        self.shelves.get_mut(endpoint)
+    /// Returns an endpoint's slots.
+    pub fn slots(&mut self, endpoint: &str) -> Option<&mut Slots> {
+        self.endpoints.get_mut(endpoint)
     }
 
-    /// Iterates over endpoints and shelves, in no order.
-    pub fn shelves(&self) -> impl Iterator<Item = (&Arc<str>, &Shelf)> {
-        self.shelves.iter()
+    /// Iterates over endpoints and their slots in arbitrary order.
+    pub fn endpoints(&self) -> impl Iterator<Item = (&Arc<str>, &Slots)> {
+        self.endpoints.iter()
     }
 
-    /// Returns whether another load may begin. Those that an endpoint took along when it crashed
-    /// take nothing from the others.
+    /// Returns whether another load may start. Loads at unresponsive endpoints, which may have
+    /// crashed, do not count.
     pub fn may_load(&self) -> bool {
-        self.coming() < self.window.size()
+        self.loading() < self.window.size()
     }
 
-    /// Takes in how an endpoint answered an order.
-    pub fn answered(
+    /// Applies an endpoint's answer to an order.
+    pub fn handle_answer(
         &mut self,
         endpoint: &str,
         order: &Order,
         answer: Answer,
         now: Moment,
     ) -> Option<Event> {
-        let under_way = self.coming();
-        let target = self.shelves.get_mut(endpoint)?;
-        let load_began = target.load_began(order);
-        let event = target.answered(order, answer, now);
-        if let (Some(began), Some(Event::Loaded(_))) = (load_began, &event) {
-            self.window.loaded(began, now, under_way);
+        let in_flight = self.loading();
+        let slots = self.endpoints.get_mut(endpoint)?;
+        let load_started = slots.load_started(order);
+        let event = slots.handle_answer(order, answer, now);
+        if let (Some(started), Some(Event::Loaded(_))) = (load_started, &event) {
+            self.window.record_load(started, now, in_flight);
         }
         event
     }
 
-    /// Returns the loads under way and how many may be.
-    pub fn loads_under_way(&self) -> (usize, usize) {
-        (self.coming(), self.window.size())
+    /// Returns the number of running loads and the limit on them.
+    pub fn loads_in_flight(&self) -> (usize, usize) {
+        (self.loading(), self.window.size())
     }
 
-    fn coming(&self) -> usize {
-        let answering = self.shelves.values().filter(|shelf| !shelf.is_silent());
-        answering.map(Shelf::coming).sum()
+    fn loading(&self) -> usize {
+        let answering = self
+            .endpoints
+            .values()
+            .filter(|slots| !slots.is_unresponsive());
+        answering.map(Slots::loading).sum()
     }
 
-    /// Counts the adapters that wait for a place or for their turn.
+    /// Returns the number of adapters that wait for a slot or for their load to start.
     pub fn waiting(&self) -> usize {
-        self.shelves.values().map(Shelf::waiting).sum()
+        self.endpoints.values().map(Slots::waiting).sum()
     }
 
-    /// Takes in a demand for an adapter and returns the endpoint that is to load it.
+    /// Places a requested adapter and returns the endpoint that is to load it.
     ///
-    /// `sites` are the endpoints that may serve it.
-    /// Returns `None` if one holds it or expects it already, or if there is none.
-    pub fn demand(
+    /// `targets` are the endpoints that may serve it. Returns `None` if one of them already holds
+    /// or expects it, or if none can load it.
+    pub fn place(
         &mut self,
         copy: &Copy,
-        sites: &[Site],
+        targets: &[Target],
         need: Need,
-        past: &[Arc<str>],
+        previous_holders: &[Arc<str>],
         now: Moment,
     ) -> Option<Arc<str>> {
-        let of = |site: &Site| &self.shelves[&site.endpoint];
-        let has_shelf = |site: &&Site| self.shelves.contains_key(&site.endpoint);
-        // Nothing arrives at a silent endpoint; if all are, the silence may be this instance's own.
-        let is_heard = |site: &Site| !of(site).is_silent();
-        let is_any_heard = sites.iter().filter(has_shelf).any(is_heard);
-        let known = |site: &&Site| has_shelf(site) && (!is_any_heard || is_heard(site));
-        let holding = sites.iter().filter(known).filter(|s| of(s).holds(copy));
-        let mut expecting = sites.iter().filter(known).filter(|s| of(s).expects(copy));
+        let slots_of = |target: &Target| &self.endpoints[&target.endpoint];
+        let has_slots = |target: &&Target| self.endpoints.contains_key(&target.endpoint);
+        // Loads do not complete at an unresponsive endpoint. If all are unresponsive, this
+        // instance's own connection may be at fault.
+        let is_responsive = |target: &Target| !slots_of(target).is_unresponsive();
+        let is_any_responsive = targets.iter().filter(has_slots).any(is_responsive);
+        let known =
+            |target: &&Target| has_slots(target) && (!is_any_responsive || is_responsive(target));
+        let holding = targets
+            .iter()
+            .filter(known)
+            .filter(|target| slots_of(target).holds(copy));
+        let mut expecting = targets
+            .iter()
+            .filter(known)
+            .filter(|target| slots_of(target).expects(copy));
         let first = expecting.next();
-        // As many may be on their way as there are: a crowded adapter spreads by doubling.
-        let most = match need {
+        // As many copies may be loading as are held: the number of copies of a busy adapter
+        // doubles.
+        let max_expected = match need {
             Need::Any => 1,
             Need::Another => holding.count().max(1),
         };
-        if let Some(site) = first
-            && expecting.count() + 1 >= most
+        if let Some(target) = first
+            && expecting.count() + 1 >= max_expected
         {
-            let endpoint = Arc::clone(&site.endpoint);
-            // The wish stays young as long as it is asked for.
-            self.shelf(&endpoint)?.wish(copy.clone(), now);
+            let endpoint = Arc::clone(&target.endpoint);
+            // Keeps the pending load from expiring while it is requested.
+            self.slots(&endpoint)?.request_load(copy.clone(), now);
             return None;
         }
-        if need == Need::Any && sites.iter().filter(known).any(|site| of(site).holds(copy)) {
+        if need == Need::Any
+            && targets
+                .iter()
+                .filter(known)
+                .any(|target| slots_of(target).holds(copy))
+        {
             return None;
         }
         let key = copy.key.to_string();
-        let has_it = |site: &Site| of(site).holds(copy) || of(site).expects(copy);
-        let can_load = |site: &&Site| of(site).has_base(&copy.key.model) && !has_it(site);
-        let sites: Vec<&Site> = sites.iter().filter(known).filter(can_load).collect();
-        let names = sites.iter().map(|site| &*site.endpoint);
-        let homes = rank(&key, &even(names), HOMES);
-        let best = sites
+        let has_it =
+            |target: &Target| slots_of(target).holds(copy) || slots_of(target).expects(copy);
+        let can_load =
+            |target: &&Target| slots_of(target).has_base(&copy.key.model) && !has_it(target);
+        let targets: Vec<&Target> = targets.iter().filter(known).filter(can_load).collect();
+        let names = targets.iter().map(|target| &*target.endpoint);
+        let preferred = rank(&key, &even(names), PREFERRED_ENDPOINTS);
+        let best = targets
             .iter()
             .enumerate()
-            .filter(|(index, site)| homes.contains(index) || past.contains(&site.endpoint))
-            .map(|(_, site)| *site)
+            .filter(|(index, target)| {
+                preferred.contains(index) || previous_holders.contains(&target.endpoint)
+            })
+            .map(|(_, target)| *target)
             .max_by(|a, b| {
-                let a = rate(a, of(a), copy, &key, past, now);
-                let b = rate(b, of(b), copy, &key, past, now);
+                let a = rating(a, slots_of(a), copy, &key, previous_holders, now);
+                let b = rating(b, slots_of(b), copy, &key, previous_holders, now);
                 a.total_cmp(&b)
             })?;
         let endpoint = Arc::clone(&best.endpoint);
-        self.shelf(&endpoint)?.wish(copy.clone(), now);
+        self.slots(&endpoint)?.request_load(copy.clone(), now);
         Some(endpoint)
     }
 }
 
-fn rate(site: &Site, shelf: &Shelf, copy: &Copy, key: &str, past: &[Arc<str>], now: Moment) -> f64 {
+fn rating(
+    target: &Target,
+    slots: &Slots,
+    copy: &Copy,
+    key: &str,
+    previous_holders: &[Arc<str>],
+    now: Moment,
+) -> f64 {
     let candidate = Candidate {
-        name: &site.endpoint,
+        name: &target.endpoint,
         weight: 1.0,
     };
-    let mut rate = HASH * score(key, &candidate).min(3.0);
-    rate -= BACKLOG * shelf.coming() as f64;
-    rate -= WAITING * shelf.waiting() as f64;
-    rate -= WAIT * site.wait.as_secs_f64();
-    if !shelf.has_room(now) {
-        rate -= NO_ROOM;
+    let mut rating = HASH_WEIGHT * score(key, &candidate).min(3.0);
+    rating -= LOADING_COST * slots.loading() as f64;
+    rating -= WAITING_COST * slots.waiting() as f64;
+    rating -= PROMPT_WAIT_COST * target.wait.as_secs_f64();
+    if !slots.has_room(now) {
+        rating -= NO_ROOM_COST;
     }
-    // A replacement would wait for the runs on the older version.
-    if shelf.has_any(&copy.key) {
-        rate -= NO_ROOM / 2.0;
+    // Replacing another version would wait for the requests that use it.
+    if slots.has_any_version(&copy.key) {
+        rating -= NO_ROOM_COST / 2.0;
     }
-    if past.contains(&site.endpoint) {
-        rate += PAST;
+    if previous_holders.contains(&target.endpoint) {
+        rating += CACHED_BONUS;
     }
-    rate
+    rating
 }
--- a/crates/ploverwick_adapters/src/window.rs
+++ b/crates/ploverwick_adapters/src/window.rs
@@ -1,78 +1,82 @@
-//! How many adapters may be on their way to the endpoints of one failure domain at once.
+//! Limits the number of concurrent adapter loads in one failure domain.
 //!
-//! The weight store serves so many loads at full speed, over all failure domains, and slows all of
-//! them down in proportion beyond. Nobody says how many, so that it is learned as transports learn a
-//! path's capacity from its delay (Brakmo and Peterson, TCP Vegas, 1995): the window grows while
-//! loads take their usual time and something waits, and shrinks when they take longer.
+//! The weight store serves a certain number of loads at full speed, over all failure domains, and
+//! slows all of them down in proportion beyond it. That number is not known in advance, so it is
+//! estimated from load times as TCP Vegas estimates a path's capacity from its delay (Brakmo and
+//! Peterson, 1995): the window grows while loads take their usual time and others wait, and shrinks
+//! when they take longer.
 
 use std::time::Duration;
 
 use ploverwick_names::Moment;
 
-/// The window at the start; loads in time enlarge it soon. Each failure domain has one, and each load
-/// beyond what the store serves at full speed holds a place for longer and brings nothing sooner.
-const FIRST: f64 = 3.0;
-/// The least window: one load on its way while what the last one brought is looked at.
-const LEAST: f64 = 2.0;
-/// The greatest window, against a store that does not slow down at all.
-const MOST: f64 = 96.0;
-/// Loads that took less came from an endpoint's own memory and say nothing of the store.
-const FROM_STORE: Duration = Duration::from_millis(150);
-/// How much longer than the shortest load one may take before the store counts as crowded: the looks
-/// whether a load is complete are 18 ms apart, some 7 % of its time.
-const CROWDED: f64 = 1.35;
-/// The part of the window that is kept when the store is crowded.
-const SHRINK: f64 = 0.85;
-/// What a load in time adds to a window that is full: it doubles in about three loads' time.
-const GROWTH: f64 = 0.35;
+/// The initial window; it soon grows if loads take their usual time. Each failure domain has its
+/// own window, and a load beyond the store's capacity occupies a slot for longer without completing
+/// any load sooner.
+const INITIAL_SIZE: f64 = 3.0;
+/// The minimum window: one load can run while the result of the last one is being polled.
+const MIN_SIZE: f64 = 2.0;
+/// The maximum window, for a store that never slows down.
+const MAX_SIZE: f64 = 96.0;
+/// The minimum duration of a load from the store. Faster loads came from the endpoint's own memory
+/// and say nothing about the store.
+const MIN_STORE_LOAD: Duration = Duration::from_millis(150);
+/// The ratio of a load's duration to the shortest one above which the store counts as overloaded.
+/// Polls for completion are 18 ms apart, some 7 % of a load's duration.
+const OVERLOAD_RATIO: f64 = 1.35;
+/// The factor applied to the window when the store is overloaded.
+const SHRINK_FACTOR: f64 = 0.85;
+/// The increment for each load of usual duration while the window is full: the window doubles in
+/// about three load durations.
+const GROWTH_STEP: f64 = 0.35;
 
-/// A window on loads under way that adapts to the time that loads take.
+/// A limit on concurrent loads that adapts to their duration.
 #[derive(Debug, Clone)]
 pub struct Window {
     size: f64,
     shortest: Option<Duration>,
-    /// Loads that began before this moment were slowed by the window before it shrank.
-    shrunk: Moment,
+    /// When the window last shrank; loads started before that were slowed by the larger window.
+    last_shrink: Moment,
 }
 
 impl Default for Window {
     fn default() -> Self {
         Self {
-            size: FIRST,
+            size: INITIAL_SIZE,
             shortest: None,
-            shrunk: Moment::default(),
+            last_shrink: Moment::default(),
         }
     }
 }
 
 impl Window {
-    /// Returns how many loads may be under way at once.
+    /// Returns the number of loads that may run at once.
     pub fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// Takes in that a load that began at `began` is complete; `under_way` counts all of them, the
-    /// complete one included.
-    pub fn loaded(&mut self, began: Moment, now: Moment, under_way: usize) {
-        let taken = now.since(began);
-        if taken < FROM_STORE {
+    /// Records that a load started at `started` is complete; `in_flight` is the number of running
+    /// loads including this one.
+    pub fn record_load(&mut self, started: Moment, now: Moment, in_flight: usize) {
+        let taken = now.since(started);
+        if taken < MIN_STORE_LOAD {
             return;
         }
         let shortest = self.shortest.map_or(taken, |shortest| shortest.min(taken));
         self.shortest = Some(shortest);
-        if taken > shortest.mul_f64(CROWDED) {
-            self.shrink(began, now);
-        } else if under_way >= self.size() {
-            self.size = (self.size + GROWTH).min(MOST);
+        if taken > shortest.mul_f64(OVERLOAD_RATIO) {
+            self.shrink(started, now);
+        } else if in_flight >= self.size() {
+            self.size = (self.size + GROWTH_STEP).min(MAX_SIZE);
         }
     }
 
-    /// Shrinks once for all loads that were under way together.
-    fn shrink(&mut self, began: Moment, now: Moment) {
-        if began < self.shrunk {
+    /// Shrinks the window, but only once for all loads that ran concurrently.
+    fn shrink(&mut self, started: Moment, now: Moment) {
+        if started < self.last_shrink {
             return;
         }
-        self.size = (self.size * SHRINK).max(LEAST);
-        self.shrunk = now;
+        self.size = (self.size * SHRINK_FACTOR).max(MIN_SIZE);
+        self.last_shrink = now;
     }
 }
--- a/crates/ploverwick_adapters/tests/home_domain.rs
+++ b/crates/ploverwick_adapters/tests/domain_choice.rs
@@ -1,9 +1,9 @@
-//! The failure domain that loads an adapter.
+//! The choice of the failure domain that loads an adapter.
 
 use std::collections::HashMap;
 
 use googletest::prelude::*;
-use ploverwick_adapters::{Domain, home};
+use ploverwick_adapters::{Domain, choose_domain};
 
 const NAMES: [&str; 3] = ["d1", "d2", "d3"];
 
@@ -20,7 +20,7 @@
 fn counts(domains: &[Domain<'static>]) -> HashMap<&'static str, usize> {
     let mut counts = HashMap::new();
     for number in 0..3_000 {
-        let chosen = home(&format!("base/a{number}"), domains, &[]);
+        let chosen = choose_domain(&format!("base/a{number}"), domains, &[]);
         *counts
             .entry(chosen.expect("some domain can").name)
             .or_default() += 1;
@@ -35,35 +35,35 @@
     expect_that!(counts["d3"], all![ge(500), le(700)]);
 }
 
-/// A domain whose endpoints are gone was asked all the same, and its requests waited in vain.
+/// A domain without endpoints was still chosen, and its requests waited in vain.
 #[googletest::test]
 fn empty_domain_gets_none() {
     let counts = counts(&domains([4, 0, 4], [0, 0, 0]));
     expect_that!(counts.get("d2"), none());
     expect_that!(
-        home("base/a1", &domains([0, 0, 0], [0, 0, 0]), &["d1"]),
+        choose_domain("base/a1", &domains([0, 0, 0], [0, 0, 0]), &["d1"]),
         none()
     );
 }
 
-/// Half of a domain's endpoints crash: what waits there goes on to the others, and nobody is asked
-/// in two domains at once.
+/// When half of a domain's endpoints crash, its pending adapters go to other domains, and no
+/// adapter is requested in two domains at once.
 #[googletest::test]
-fn pressed_domain_spills() {
+fn overloaded_domain_passed_over() {
     let counts = counts(&domains([2, 4, 4], [6, 1, 1]));
     expect_that!(counts.get("d1"), none());
 }
 
 #[googletest::test]
-fn at_hand_comes_first() {
-    let calm = domains([4, 4, 4], [8, 0, 0]);
+fn cached_domain_preferred() {
+    let moderate = domains([4, 4, 4], [8, 0, 0]);
     expect_that!(
-        home("base/a1", &calm, &["d1"]).map(|d| d.name),
+        choose_domain("base/a1", &moderate, &["d1"]).map(|d| d.name),
         some(eq("d1"))
     );
-    let pressed = domains([4, 4, 4], [16, 0, 0]);
+    let overloaded = domains([4, 4, 4], [16, 0, 0]);
     expect_that!(
-        home("base/a1", &pressed, &["d1"]).map(|d| d.name),
+        choose_domain("base/a1", &overloaded, &["d1"]).map(|d| d.name),
         some(not(eq("d1")))
     );
 }
--- a/crates/ploverwick_adapters/tests/soonest_endpoint.rs
+++ b/crates/ploverwick_adapters/tests/endpoint_choice.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_adapters::{Copy, Key, Need, Placer, Report, Site};
+use ploverwick_adapters::{Copy, Key, Need, Placer, Report, Target};
 use ploverwick_names::Moment;
 
 const MODEL: &str = "base";
-const PLACES: usize = 2;
+const SLOTS: usize = 2;
 const NOW: Moment = Moment(10_000);
 
 fn copy(name: &str) -> Copy {
@@ -21,66 +21,67 @@
     }
 }
 
-/// Makes a placer of three endpoints, the first of which has all places in use if `is_full`.
+/// Creates a placer with three endpoints; the first has all slots in use if `is_full`.
 fn placer(is_full: bool) -> Placer {
     let mut placer = Placer::default();
     for id in ["i-0", "i-1", "i-2"] {
         let endpoint: Arc<str> = Arc::from(id);
-        placer.add(&endpoint, PLACES, Moment(0));
-        let count = if is_full && id == "i-0" { PLACES } else { 0 };
+        placer.add(&endpoint, SLOTS, Moment(0));
+        let count = if is_full && id == "i-0" { SLOTS } else { 0 };
         let held: Vec<Copy> = (0..count).map(|n| copy(&format!("held-{n}"))).collect();
         let report = Report {
             models: vec![Arc::from(MODEL)],
             held: held.clone(),
             ..Report::default()
         };
-        let shelf = placer.shelf(id).expect("it was added");
-        shelf.report(&report, Moment(0));
+        let slots = placer.slots(id).expect("it was added");
+        slots.handle_report(&report, Moment(0));
         for copy in &held {
-            shelf.used(copy, [10, 0, 0, 1].into(), 1, NOW);
+            slots.record_use(copy, [10, 0, 0, 1].into(), 1, NOW);
         }
     }
     placer
 }
 
-fn sites(waits: [u64; 3]) -> Vec<Site> {
+fn targets(waits: [u64; 3]) -> Vec<Target> {
     let all = ["i-0", "i-1", "i-2"].into_iter().zip(waits);
-    all.map(|(id, ms)| Site {
+    all.map(|(id, ms)| Target {
         endpoint: Arc::from(id),
         wait: Duration::from_millis(ms),
     })
     .collect()
 }
 
-/// Counts how many of a hundred adapters go to the first endpoint, each placed by itself.
-fn to_first(is_full: bool, waits: [u64; 3], is_at_hand: bool) -> usize {
-    let past: Vec<Arc<str>> = is_at_hand.then(|| Arc::from("i-0")).into_iter().collect();
+/// Returns how many of a hundred adapters, each placed independently, go to the first endpoint.
+fn to_first(is_full: bool, waits: [u64; 3], is_cached: bool) -> usize {
+    let previous_holders: Vec<Arc<str>> = is_cached.then(|| Arc::from("i-0")).into_iter().collect();
     let chosen = (0..100).filter_map(|n| {
         let wanted = copy(&format!("a{n}"));
-        placer(is_full).demand(&wanted, &sites(waits), Need::Any, &past, NOW)
+        placer(is_full).place(&wanted, &targets(waits), Need::Any, &previous_holders, NOW)
     });
     chosen.filter(|id| **id == *"i-0").count()
 }
 
 #[googletest::test]
-fn equals_share() {
+fn equal_endpoints_share_loads() {
     expect_that!(to_first(false, [0, 0, 0], false), all![ge(15), le(50)]);
 }
 
-/// A summary met 13,000 prompt tokens while four of eleven endpoints were idle.
+/// A summary request queued behind 13,000 prompt tokens while four of eleven endpoints were idle.
 #[googletest::test]
-fn busy_reader_yields() {
+fn endpoint_with_queued_prompts_avoided() {
     expect_that!(to_first(false, [400, 0, 0], false), eq(0));
 }
 
-/// Adapters waited 0.8 s for a place where all were in use, and others had some.
+/// Adapters waited 0.8 s for a slot at an endpoint with all slots in use while others had free
+/// ones.
 #[googletest::test]
-fn full_shelf_yields() {
+fn full_endpoint_avoided() {
     expect_that!(to_first(true, [0, 300, 300], false), eq(0));
 }
 
 #[googletest::test]
-fn at_hand_comes_first() {
+fn cached_endpoint_preferred() {
     expect_that!(to_first(false, [400, 0, 0], true), eq(100));
     expect_that!(to_first(false, [2_000, 0, 0], true), eq(0));
 }
--- /dev/null
+++ b/crates/ploverwick_adapters/tests/unresponsive_endpoint.rs
@@ -0,0 +1,139 @@
+//! An endpoint that does not answer gets no adapters and does not block loads elsewhere.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use googletest::prelude::*;
+use ploverwick_adapters::{Answer, Copy, Key, Need, Placer, Report, Step, Target};
+use ploverwick_names::Moment;
+
+const MODEL: &str = "base";
+/// The number of loads that an endpoint may run at once.
+const LOADS_PER_ENDPOINT: usize = 4;
+
+fn copy(number: usize) -> Copy {
+    Copy {
+        key: Key {
+            model: Arc::from(MODEL),
+            adapter: Arc::from(format!("a{number}")),
+        },
+        version: 1,
+    }
+}
+
+fn targets(names: &[Arc<str>]) -> Vec<Target> {
+    let target = |name: &Arc<str>| Target {
+        endpoint: Arc::clone(name),
+        wait: Duration::ZERO,
+    };
+    names.iter().map(target).collect()
+}
+
+/// Creates a placer with endpoints that hold only the base model.
+fn placer(names: &[Arc<str>]) -> Placer {
+    let mut placer = Placer::default();
+    for name in names {
+        placer.add(name, 16, Moment(0));
+        let slots = placer.slots(name).expect("it was added");
+        let report = Report {
+            orders: 0,
+            models: vec![Arc::from(MODEL)],
+            held: Vec::new(),
+            loading: Vec::new(),
+            busy: false,
+        };
+        slots.handle_report(&report, Moment(0));
+    }
+    placer
+}
+
+/// Sends the next orders to an endpoint, each with the same answer.
+fn orders(placer: &mut Placer, name: &str, answer: Answer, times: usize) {
+    for _ in 0..times {
+        let may_load = placer.may_load();
+        let slots = placer.slots(name).expect("it was added");
+        match slots.next_step(Moment(1_000), may_load) {
+            Step::Send(order) => drop(slots.handle_answer(&order, answer, Moment(1_000))),
+            Step::Report => slots.handle_missing_report(Moment(1_000)),
+            Step::Wait(_) | Step::Idle => return,
+        }
+    }
+}
+
+fn names(count: usize) -> Vec<Arc<str>> {
+    (0..count)
+        .map(|n| Arc::from(format!("i-{n}").as_str()))
+        .collect()
+}
+
+/// Found by scale-1: adapters pending at an endpoint that had crashed were requested there
+/// repeatedly, until the listing dropped the endpoint three seconds later.
+#[googletest::test]
+fn pending_load_moves_to_responsive_endpoint() {
+    let names = names(2);
+    let mut placer = placer(&names);
+    let at = Moment(1_000);
+    let first = placer.place(&copy(1), &targets(&names), Need::Any, &[], at);
+    let first = first.expect("there are endpoints");
+    orders(&mut placer, &first, Answer::Unknown, 4);
+    let second = placer.place(&copy(1), &targets(&names), Need::Any, &[], at);
+    expect_that!(second, some(not(eq(&first))));
+}
+
+#[googletest::test]
+fn unresponsive_endpoint_frees_load_window() {
+    let names = names(4);
+    let mut placer = placer(&names);
+    let at = Moment(1_000);
+    for (n, name) in names.iter().take(3).enumerate() {
+        for load in 0..LOADS_PER_ENDPOINT {
+            let slots = placer.slots(name).expect("it was added");
+            slots.request_load(copy(n * LOADS_PER_ENDPOINT + load), at);
+        }
+        orders(&mut placer, name, Answer::Accepted, LOADS_PER_ENDPOINT);
+    }
+    assert_that!(placer.may_load(), eq(false));
+    let crashed = placer.slots(&names[0]).expect("it was added");
+    for _ in 0..LOADS_PER_ENDPOINT {
+        crashed.handle_missing_report(at);
+    }
+    expect_that!(placer.may_load(), eq(true));
+}
+
+#[googletest::test]
+fn places_when_all_unresponsive() {
+    let names = names(2);
+    let mut placer = placer(&names);
+    for name in &names {
+        let slots = placer.slots(name).expect("it was added");
+        slots.request_load(copy(9), Moment(1_000));
+        orders(&mut placer, name, Answer::Unknown, 4);
+    }
+    // This instance's own connection may be at fault.
+    let chosen = placer.place(&copy(1), &targets(&names), Need::Any, &[], Moment(1_000));
+    expect_that!(chosen, some(anything()));
+}
+
+#[googletest::test]
+fn answer_restores_endpoint() {
+    let names = names(1);
+    let mut placer = placer(&names);
+    let slots = placer.slots(&names[0]).expect("it was added");
+    slots.request_load(copy(1), Moment(1_000));
+    orders(&mut placer, &names[0], Answer::Unknown, 4);
+    assert_that!(
+        placer
+            .slots(&names[0])
+            .expect("it was added")
+            .is_unresponsive(),
+        eq(true)
+    );
+    orders(&mut placer, &names[0], Answer::Accepted, 1);
+    expect_that!(
+        placer
+            .slots(&names[0])
+            .expect("it was added")
+            .is_unresponsive(),
+        eq(false)
+    );
+}
--- a/crates/ploverwick_adapters/tests/version_age.rs
+++ b/crates/ploverwick_adapters/tests/version_age.rs
@@ -1,166 +1,175 @@
-//! A version is judged from the first newer one, and as early as an instance cannot rule out.
+//! A version counts as replaced from the first newer declaration, at the earliest time that an
+//! instance cannot rule out.
 //!
-//! Seen: requests began on an adapter's first version long after its second one was in force. How it came
-//! about: a third version was declared, or an instance started and read the second one again. Cause: only
-//! the newest declaration was remembered, with the moment at which it was read. Proof: the tests of
-//! `replaced_versions` in the gateway, which run both.
+//! Failure: requests started on an adapter's first version long after its second one was in force,
+//! when a third version was declared or an instance started and read the second declaration again.
+//! Only the newest declaration was kept, with the time at which it was read. The
+//! `replaced_versions` tests of the gateway cover both cases.
 
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_adapters::{Horizon, Lineage, Since};
+use ploverwick_adapters::{Since, VersionHistory, Watermark};
 use ploverwick_names::Moment;
 
-/// How often a process that is not held up says that it runs.
-const STEP: Duration = Duration::from_millis(150);
+/// The interval between ticks of a process that is not paused.
+const TICK_INTERVAL: Duration = Duration::from_millis(150);
 
 fn at(moment: u64) -> Since {
     Since::NotBefore(Moment(moment))
 }
 
-/// Lets a process run from one moment to another.
-fn run(horizon: &mut Horizon, from: u64, to: u64) {
+/// Ticks a process from one moment to another.
+fn run(watermark: &mut Watermark, from: u64, to: u64) {
     let mut now = Moment(from);
     while now < Moment(to) {
-        horizon.run(now);
-        now = now + STEP;
+        watermark.tick(now);
+        now = now + TICK_INTERVAL;
     }
 }
 
-/// Makes the horizon of a process that read a whole topic at 1,000 and waits for more since 1,010.
-fn waiting() -> Horizon {
-    let mut horizon = Horizon::default();
-    horizon.ask(Moment(1_000));
-    expect_that!(horizon.whole(), eq(Since::LongAgo));
-    horizon.ask(Moment(1_010));
-    horizon
+/// Creates the watermark of a process that read a whole topic at 1,000 and has waited for more
+/// since 1,010.
+fn waiting_reader() -> Watermark {
+    let mut watermark = Watermark::default();
+    watermark.begin_read(Moment(1_000));
+    expect_that!(watermark.finish_full_read(), eq(Since::LongAgo));
+    watermark.begin_read(Moment(1_010));
+    watermark
 }
 
 #[googletest::test]
-fn first_newer_counts() {
-    let mut lineage = Lineage::default();
-    expect_that!(lineage.newest(), eq(1));
-    expect_that!(lineage.replaced(1), none());
-    expect_that!(lineage.declare(2, at(6_000)), eq(true));
-    expect_that!(lineage.declare(3, at(13_000)), eq(true));
-    expect_that!(lineage.replaced(1), some(eq(at(6_000))));
-    expect_that!(lineage.replaced(2), some(eq(at(13_000))));
-    expect_that!(lineage.replaced(3), none());
-    // An older declaration that is read again changes nothing.
-    expect_that!(lineage.declare(2, at(20_000)), eq(false));
-    expect_that!(lineage.replaced(1), some(eq(at(6_000))));
+fn replaced_since_first_newer_version() {
+    let mut history = VersionHistory::default();
+    expect_that!(history.newest(), eq(1));
+    expect_that!(history.replaced_since(1), none());
+    expect_that!(history.declare(2, at(6_000)), eq(true));
+    expect_that!(history.declare(3, at(13_000)), eq(true));
+    expect_that!(history.replaced_since(1), some(eq(at(6_000))));
+    expect_that!(history.replaced_since(2), some(eq(at(13_000))));
+    expect_that!(history.replaced_since(3), none());
+    // Reading an older declaration again changes nothing.
+    expect_that!(history.declare(2, at(20_000)), eq(false));
+    expect_that!(history.replaced_since(1), some(eq(at(6_000))));
 }
 
 #[googletest::test]
-fn unproved_is_long_ago() {
-    let mut lineage = Lineage::default();
-    lineage.declare(4, Since::LongAgo);
-    expect_that!(lineage.newest(), eq(4));
-    expect_that!(lineage.replaced(3), some(eq(Since::LongAgo)));
-    lineage.declare(6, at(9_000));
-    expect_that!(lineage.replaced(3), some(eq(Since::LongAgo)));
-    expect_that!(lineage.replaced(4), some(eq(at(9_000))));
-    // What is newer cannot have been declared before what is older.
-    lineage.declare(7, at(8_000));
-    expect_that!(lineage.replaced(6), some(eq(at(9_000))));
+fn unknown_age_counts_as_long_ago() {
+    let mut history = VersionHistory::default();
+    history.declare(4, Since::LongAgo);
+    expect_that!(history.newest(), eq(4));
+    expect_that!(history.replaced_since(3), some(eq(Since::LongAgo)));
+    history.declare(6, at(9_000));
+    expect_that!(history.replaced_since(3), some(eq(Since::LongAgo)));
+    expect_that!(history.replaced_since(4), some(eq(at(9_000))));
+    // A newer version cannot have been declared before an older one.
+    history.declare(7, at(8_000));
+    expect_that!(history.replaced_since(6), some(eq(at(9_000))));
 }
 
-/// However many versions are declared, none that was replaced comes back or is judged later than by the
-/// first newer one.
+/// However many versions are declared, no replaced version becomes current again or counts as
+/// replaced later than the first newer one was declared.
 #[googletest::test]
-fn many_never_return() {
-    let mut lineage = Lineage::default();
+fn older_versions_stay_replaced() {
+    let mut history = VersionHistory::default();
     for version in 2..500 {
-        lineage.declare(version, at(version * 10));
+        history.declare(version, at(version * 10));
         for older in 1..version {
             let first_newer = at((older + 1) * 10);
-            expect_that!(lineage.replaced(older), some(le(first_newer)));
+            expect_that!(history.replaced_since(older), some(le(first_newer)));
         }
-        expect_that!(lineage.replaced(version - 1), some(eq(at(version * 10))));
+        expect_that!(
+            history.replaced_since(version - 1),
+            some(eq(at(version * 10)))
+        );
     }
-    // Few are remembered one by one.
-    expect_that!(lineage.replaced(490), some(eq(Since::LongAgo)));
+    // Only a few declarations are kept individually.
+    expect_that!(history.replaced_since(490), some(eq(Since::LongAgo)));
 }
 
-/// What came while a read was waiting is as fresh as the process's steps are short.
+/// The age of records that arrive during a waiting read is known to within the tick interval.
 #[googletest::test]
-fn waiting_read_is_fresh() {
-    let mut horizon = waiting();
-    run(&mut horizon, 1_010, 9_000);
-    let since = horizon.next(Moment(9_000));
-    expect_that!(since, ge(Since::NotBefore(Moment(9_000) - STEP * 2)));
+fn long_poll_bounds_age_by_tick() {
+    let mut watermark = waiting_reader();
+    run(&mut watermark, 1_010, 9_000);
+    let since = watermark.finish_tail_read(Moment(9_000));
+    expect_that!(
+        since,
+        ge(Since::NotBefore(Moment(9_000) - TICK_INTERVAL * 2))
+    );
     expect_that!(since, le(at(9_000)));
-    // The read after it finds what came between the two.
-    horizon.ask(Moment(9_001));
-    expect_that!(horizon.next(Moment(9_005)), eq(since));
+    // The next read returns records that arrived between the two.
+    watermark.begin_read(Moment(9_001));
+    expect_that!(watermark.finish_tail_read(Moment(9_005)), eq(since));
 }
 
-/// A read that is back soon may have found its records there; connecting for it may have taken a second.
+/// A read that returns soon may have found its records already there, as connecting can take a
+/// second.
 #[googletest::test]
-fn soon_back_proves_less() {
-    let mut horizon = waiting();
-    run(&mut horizon, 1_010, 2_000);
-    expect_that!(horizon.next(Moment(2_000)), eq(at(1_000)));
+fn immediate_read_uses_previous_watermark() {
+    let mut watermark = waiting_reader();
+    run(&mut watermark, 1_010, 2_000);
+    expect_that!(watermark.finish_tail_read(Moment(2_000)), eq(at(1_000)));
 }
 
-/// Nothing after the last read that came back is proved once one failed.
+/// A failed read proves nothing about the time since the last successful one.
 #[googletest::test]
-fn outage_proves_nothing() {
-    let mut horizon = waiting();
-    run(&mut horizon, 1_010, 21_000);
-    horizon.fail();
+fn failed_reads_keep_watermark() {
+    let mut watermark = waiting_reader();
+    run(&mut watermark, 1_010, 21_000);
+    watermark.fail_read();
     for retry in [21_150, 21_450, 22_050] {
-        horizon.ask(Moment(retry));
-        run(&mut horizon, retry, retry + 150);
-        horizon.fail();
+        watermark.begin_read(Moment(retry));
+        run(&mut watermark, retry, retry + 150);
+        watermark.fail_read();
     }
-    horizon.ask(Moment(23_000));
-    run(&mut horizon, 23_000, 25_000);
-    expect_that!(horizon.next(Moment(25_000)), eq(at(1_000)));
-    // The next one goes on from there.
-    horizon.ask(Moment(25_000));
-    run(&mut horizon, 25_000, 30_000);
-    expect_that!(horizon.next(Moment(30_000)), gt(at(29_500)));
+    watermark.begin_read(Moment(23_000));
+    run(&mut watermark, 23_000, 25_000);
+    expect_that!(watermark.finish_tail_read(Moment(25_000)), eq(at(1_000)));
+    // The next read continues from there.
+    watermark.begin_read(Moment(25_000));
+    run(&mut watermark, 25_000, 30_000);
+    expect_that!(watermark.finish_tail_read(Moment(30_000)), gt(at(29_500)));
 }
 
-/// A whole topic that is read anew proves what was not in it when it was read before.
+/// Reading the whole topic again proves that new records were not there at the previous read.
 #[googletest::test]
-fn whole_again_counts_from_before() {
-    let mut horizon = waiting();
-    run(&mut horizon, 1_010, 5_000);
-    let seen = horizon.next(Moment(5_000));
-    horizon.ask(Moment(5_001));
-    horizon.fail();
-    horizon.ask(Moment(8_000));
-    expect_that!(horizon.whole(), eq(seen));
+fn full_reread_uses_previous_watermark() {
+    let mut watermark = waiting_reader();
+    run(&mut watermark, 1_010, 5_000);
+    let seen = watermark.finish_tail_read(Moment(5_000));
+    watermark.begin_read(Moment(5_001));
+    watermark.fail_read();
+    watermark.begin_read(Moment(8_000));
+    expect_that!(watermark.finish_full_read(), eq(seen));
     expect_that!(seen, gt(at(4_500)));
 }
 
-/// What came while the process was held up is as old as the halt, whichever the process does first after
-/// it: look at the clock, or at what came.
+/// Records that arrive during a process pause count as old as the pause, whether the process ticks
+/// or processes records first after it.
 #[googletest::test]
-fn halt_ages_what_came() {
+fn process_pause_ages_records() {
     for looks_first in [true, false] {
-        let mut horizon = waiting();
-        run(&mut horizon, 1_010, 4_000);
+        let mut watermark = waiting_reader();
+        run(&mut watermark, 1_010, 4_000);
         if looks_first {
-            horizon.run(Moment(7_000));
+            watermark.tick(Moment(7_000));
         }
-        let since = horizon.next(Moment(7_010));
+        let since = watermark.finish_tail_read(Moment(7_010));
         expect_that!(since, le(at(4_000)));
         expect_that!(since, gt(at(3_500)));
-        // What is read next may have come during the halt too.
-        horizon.ask(Moment(7_011));
-        expect_that!(horizon.next(Moment(7_015)), eq(since));
-        horizon.ask(Moment(7_016));
-        run(&mut horizon, 7_016, 9_000);
-        expect_that!(horizon.next(Moment(9_000)), gt(at(8_500)));
+        // Records of the next read may also have arrived during the pause.
+        watermark.begin_read(Moment(7_011));
+        expect_that!(watermark.finish_tail_read(Moment(7_015)), eq(since));
+        watermark.begin_read(Moment(7_016));
+        run(&mut watermark, 7_016, 9_000);
+        expect_that!(watermark.finish_tail_read(Moment(9_000)), gt(at(8_500)));
     }
 }
 
-/// Whatever a process meets, a record never counts as later than it came.
+/// In random histories, a record never counts as newer than its arrival.
 #[googletest::test]
-fn never_later_than_it_came() {
+fn never_newer_than_arrival() {
     let mut random = 0x9e37_79b9_7f4a_7c15_u64;
     let mut draw = |below: u64| {
         random ^= random << 13;
@@ -169,50 +178,50 @@
         random % below
     };
     for _ in 0..2_000 {
-        let mut horizon = Horizon::default();
+        let mut watermark = Watermark::default();
         let mut now = 100;
-        // The moment since which records came that were not read yet, if there are any.
+        // When the oldest unread record arrived, if there is one.
         let mut unread: Option<u64> = Some(0);
         let mut is_first = true;
         for _ in 0..12 {
-            horizon.ask(Moment(now));
+            watermark.begin_read(Moment(now));
             let asked = now;
             let came = asked + draw(9_000);
             match draw(4) {
-                // It fails after a while, with or without a record meanwhile.
+                // The read fails after a while, with or without a record arriving meanwhile.
                 0 => {
                     let failed = asked + draw(6_000);
-                    run(&mut horizon, asked, failed);
-                    horizon.fail();
+                    run(&mut watermark, asked, failed);
+                    watermark.fail_read();
                     if draw(2) == 0 {
                         unread.get_or_insert(asked + draw(failed - asked + 1));
                     }
                     now = failed + draw(2_000);
-                    run(&mut horizon, failed, now);
+                    run(&mut watermark, failed, now);
                 }
-                // It comes back with what was there, after up to the longest time to connect.
+                // The read returns existing records, after at most the longest time to connect.
                 1 if unread.is_some() || is_first => {
                     now = asked + draw(1_000);
-                    run(&mut horizon, asked, now);
+                    run(&mut watermark, asked, now);
                     let since = if is_first {
-                        horizon.whole()
+                        watermark.finish_full_read()
                     } else {
-                        horizon.next(Moment(now))
+                        watermark.finish_tail_read(Moment(now))
                     };
                     let oldest = unread.take().unwrap_or(asked);
                     expect_that!(since, le(at(oldest)));
                     is_first = false;
                 }
-                // It waits until something comes; the process may be held up around that.
+                // The read waits for a record; the process may be paused around its arrival.
                 _ if !is_first && unread.is_none() => {
                     let halts = draw(2) == 0;
                     let back = if halts { came + draw(4_000) } else { came };
-                    run(&mut horizon, asked, came);
+                    run(&mut watermark, asked, came);
                     if draw(2) == 0 {
-                        horizon.run(Moment(back));
+                        watermark.tick(Moment(back));
                     }
                     now = back;
-                    let since = horizon.next(Moment(now));
+                    let since = watermark.finish_tail_read(Moment(now));
                     expect_that!(since, le(at(came)));
                     if halts && draw(2) == 0 {
                         unread = Some(came);
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/demand.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ploverwick_adapters::{Copy, Need, Site};
+use ploverwick_adapters::{Copy, Need, Target};
 use ploverwick_endpoints::State as EndpointState;
 
 use crate::shared::Shared;
@@ -34,30 +34,33 @@
     }
     let domain = &shared.settings.domain;
     let fleet = &state.fleet;
-    let mut sites: Vec<Site> = fleet
+    let mut targets: Vec<Target> = fleet
         .entries()
         .filter(|entry| entry.domain == *domain && entry.state == EndpointState::Ready)
-        .map(|entry| Site {
+        .map(|entry| Target {
             endpoint: Arc::clone(&entry.id),
             wait: fleet.wait(&entry.id, 0, now).unwrap_or_default(),
         })
         .collect();
     // An adapter at an endpoint that is left out serves nobody.
-    if sites.iter().any(|site| !fleet.is_out(&site.endpoint, now)) {
-        sites.retain(|site| !fleet.is_out(&site.endpoint, now));
+    if targets
+        .iter()
+        .any(|target| !fleet.is_out(&target.endpoint, now))
+    {
+        targets.retain(|target| !fleet.is_out(&target.endpoint, now));
     }
     // One that names a limit is in need, and takes a few requests a second whatever it holds.
-    let has_limit = |site: &Site| state.limits.named(&site.endpoint).is_some();
-    if !sites.iter().all(has_limit) {
-        sites.retain(|site| !has_limit(site));
+    let has_limit = |target: &Target| state.limits.named(&target.endpoint).is_some();
+    if !targets.iter().all(has_limit) {
+        targets.retain(|target| !has_limit(target));
     }
     // A pausing endpoint gets no orders until its pause ends, so it is a candidate only if all are pausing.
-    let is_pausing = |site: &Site| state.pauses.wait(&site.endpoint, now).is_some();
-    if !sites.iter().all(is_pausing) {
-        sites.retain(|site| !is_pausing(site));
+    let is_pausing = |target: &Target| state.pauses.wait(&target.endpoint, now).is_some();
+    if !targets.iter().all(is_pausing) {
+        targets.retain(|target| !is_pausing(target));
     }
-    let past = state.directory.past(copy).to_vec();
-    let chosen = state.placer.demand(copy, &sites, need, &past, now);
+    let past = state.directory.previous_holders(copy).to_vec();
+    let chosen = state.placer.place(copy, &targets, need, &past, now);
     drop(state);
     if let Some(endpoint) = chosen {
         spdlog::info!(
@@ -79,9 +82,9 @@
     if !state.tenure.is_held(now) {
         return;
     }
-    let mut shelves = state.placer.shelves();
-    let is_held_here = shelves.any(|(_, shelf)| shelf.has_any(&copy.key));
-    drop(shelves);
+    let mut endpoints = state.placer.endpoints();
+    let is_held_here = endpoints.any(|(_, slots)| slots.has_any_version(&copy.key));
+    drop(endpoints);
     drop(state);
     if is_held_here {
         take(shared, copy, Need::Any);
--- a/crates/ploverwick_gateway/src/controllers/instances.rs
+++ b/crates/ploverwick_gateway/src/controllers/instances.rs
@@ -81,13 +81,13 @@
     let mut records = snapshot.records.iter();
     let Some(own) = records.find(|record| record.key == *shared.settings.instance) else {
         // An earlier life that ended in order took its line away a turn after its last order.
-        shared.state().tenure.no_earlier_life();
+        shared.state().tenure.confirm_no_recent_orders();
         return None;
     };
     let value = own.value.as_ref()?;
     let token = serde_json::from_slice::<Line>(value).ok()?.token?;
     spdlog::info!("recalled token={}", token);
-    shared.state().tenure.recall(token);
+    shared.state().tenure.set_previous_token(token);
     Some(token)
 }
 
--- a/crates/ploverwick_gateway/src/controllers/orders.rs
+++ b/crates/ploverwick_gateway/src/controllers/orders.rs
@@ -10,7 +10,7 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use ploverwick_adapters::{Answer, Ceiling, Event, Order, Report, Step};
+use ploverwick_adapters::{Answer, Event, LoadLimit, Order, Report, Step};
 use ploverwick_endpoints::{Entry, State as EndpointState};
 use ploverwick_names::Moment;
 use ploverwick_platform::{answer, order, roster};
@@ -81,11 +81,11 @@
         state.placer.add(&entry.id, engine.adapter_slots, now);
         // An endpoint without a base model gets the first; which one it should be is decided by
         // the order of the configuration until several are in demand.
-        if let Some(shelf) = state.placer.shelf(&entry.id)
-            && shelf.is_empty()
+        if let Some(slots) = state.placer.slots(&entry.id)
+            && slots.is_empty()
             && let Some(model) = engine.models.first()
         {
-            shelf.wish_base(Arc::clone(model));
+            slots.request_base(Arc::clone(model));
         }
         let mut tended = tended.lock().expect("no holder of the lock panics");
         if tended.insert(Arc::clone(&entry.id)) {
@@ -131,15 +131,15 @@
     }
     let may_load = state.placer.may_load();
     let ceiling = ceiling(shared, &state, &entry);
-    let shelf = state.placer.shelf(endpoint)?;
-    let step = shelf.next(now, may_load);
+    let slots = state.placer.slots(endpoint)?;
+    let step = slots.next_step(now, may_load);
     if let Step::Send(order) = &step
-        && shelf.begins_base(order)
+        && slots.starts_base_load(order)
     {
         if let Some(at) = state.base_loads.next_at(&ceiling, now) {
             return Some((Step::Wait(at), entry, token));
         }
-        state.base_loads.begin(now);
+        state.base_loads.record_load(now);
         drop(state);
         tell::base_load(shared);
     }
@@ -147,11 +147,11 @@
 }
 
 /// Returns the bound on loads of base models at an endpoint's service.
-fn ceiling(shared: &Shared, state: &State, entry: &Entry) -> Ceiling {
+fn ceiling(shared: &Shared, state: &State, entry: &Entry) -> LoadLimit {
     let config = state.config.as_ref();
     let service = config.and_then(|config| config.service(&entry.service));
     let engine = service.and_then(|service| service.engine.as_ref());
-    Ceiling {
+    LoadLimit {
         rate: engine.map_or(0.0, |engine| engine.loads_per_s),
         overshoot: shared.settings.load_overshoot,
         window: shared.settings.load_window,
@@ -236,9 +236,9 @@
     let mut state = shared.state();
     if answer == Answer::Fenced {
         spdlog::warn!("order_fenced endpoint={} token={}", endpoint, token);
-        state.tenure.fenced(token, now);
+        state.tenure.handle_fenced(token, now);
     }
-    state.placer.answered(endpoint, order, answer, now)
+    state.placer.handle_answer(endpoint, order, answer, now)
 }
 
 async fn learn(shared: &Arc<Shared>, entry: &Entry) {
@@ -281,9 +281,9 @@
 fn reported(shared: &Shared, endpoint: &Arc<str>, report: Option<Report>) -> Option<Event> {
     let now = shared.now();
     let mut state = shared.state();
-    let shelf = state.placer.shelf(endpoint)?;
+    let slots = state.placer.slots(endpoint)?;
     let Some(report) = report else {
-        shelf.no_report(now);
+        slots.handle_missing_report(now);
         return None;
     };
     spdlog::info!(
@@ -291,30 +291,30 @@
         endpoint,
         report.orders,
         report.held.len(),
-        report.coming.len()
+        report.loading.len()
     );
-    Some(shelf.report(&report, now))
+    Some(slots.handle_report(&report, now))
 }
 
 fn apply(shared: &Arc<Shared>, endpoint: &Arc<str>, event: &Event) {
     let now = shared.now();
     let mut state = shared.state();
     match event {
-        Event::Coming(copy) => state.directory.expect(endpoint, copy.clone(), now),
-        Event::Loaded(copy) => state.directory.loaded(endpoint, copy.clone(), now),
-        Event::Unloaded(copy) => state.directory.unloaded(endpoint, copy),
-        Event::Learned(copies) => state.directory.reported(endpoint, copies.clone(), now),
+        Event::Loading(copy) => state.directory.mark_loading(endpoint, copy.clone(), now),
+        Event::Loaded(copy) => state.directory.mark_loaded(endpoint, copy.clone(), now),
+        Event::Unloaded(copy) => state.directory.mark_unloaded(endpoint, copy),
+        Event::Reported(copies) => state.directory.apply_report(endpoint, copies.clone(), now),
         Event::BaseLoaded(model) => {
             spdlog::info!("base_loaded endpoint={} model={}", endpoint, model);
         }
     }
-    let (coming, window) = state.placer.loads_under_way();
+    let (coming, window) = state.placer.loads_in_flight();
     drop(state);
     let line = match event {
-        Event::Coming(copy) => Some(("adapter_ordered", copy)),
+        Event::Loading(copy) => Some(("adapter_ordered", copy)),
         Event::Loaded(copy) => Some(("adapter_loaded", copy)),
         Event::Unloaded(copy) => Some(("adapter_unloaded", copy)),
-        Event::Learned(_) | Event::BaseLoaded(_) => None,
+        Event::Reported(_) | Event::BaseLoaded(_) => None,
     };
     if let Some((what, copy)) = line {
         spdlog::info!(
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/roster.rs
@@ -209,7 +209,7 @@
         let now = self.shared.now();
         let copies = roster::copies(&entry.held);
         let mut state = self.shared.state();
-        state.directory.listed(&entry.id, copies, now);
+        state.directory.apply_listing(&entry.id, copies, now);
         drop(state);
         put(&self.shared, entry);
     }
@@ -297,7 +297,10 @@
     let now = shared.now();
     for entry in entries {
         let copies = roster::copies(&entry.held);
-        shared.state().directory.listed(&entry.id, copies, now);
+        shared
+            .state()
+            .directory
+            .apply_listing(&entry.id, copies, now);
         put(shared, entry);
     }
     let mut state = shared.state();
--- a/crates/ploverwick_gateway/src/controllers/tenure.rs
+++ b/crates/ploverwick_gateway/src/controllers/tenure.rs
@@ -118,7 +118,7 @@
     let now = shared.now();
     let mut state = shared.state();
     let was_held = state.tenure.is_held(now);
-    state.tenure.granted(grant, asked, now);
+    state.tenure.handle_grant(grant, asked, now);
     let is_held = state.tenure.is_held(now);
     if was_held == is_held {
         return;
@@ -133,7 +133,7 @@
 fn lose(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state();
-    state.tenure.lose(now);
+    state.tenure.release(now);
     state.placer.clear();
 }
 
--- a/crates/ploverwick_gateway/src/controllers/topic.rs
+++ b/crates/ploverwick_gateway/src/controllers/topic.rs
@@ -148,7 +148,7 @@
         }
         let hear = &mut self.take;
         let mut take = |news: News<'_>| {
-            let earlier = shared.state().horizon.unseen();
+            let earlier = shared.state().horizon.unread();
             hear(news);
             match news {
                 News::Whole { records } => shared.inboxes.of(topic).keep(records, true),
@@ -159,7 +159,7 @@
                 | News::ToldWhole { .. }
                 | News::Away => {}
             }
-            let last = shared.state().horizon.last();
+            let last = shared.state().horizon.last_read();
             if let (News::Next { records, end, .. }, Some(from), true) = (news, from, is_reader)
                 && end > from
             {
@@ -214,7 +214,7 @@
         (self.take)(News::ToldWhole { records: &records });
         self.shared.inboxes.of(self.topic).keep(&records, true);
         let age = whole.age_ms.map(Duration::from_millis);
-        self.shared.state().horizon.told(age);
+        self.shared.state().horizon.apply_relayed(age);
         self.place.read(whole.end);
         self.stand(Reading::Rests);
     }
--- a/crates/ploverwick_gateway/src/filters/attempt.rs
+++ b/crates/ploverwick_gateway/src/filters/attempt.rs
@@ -241,7 +241,7 @@
     match &target.copy {
         Some(copy) => {
             let mut state = shared.state();
-            state.directory.unloaded(&target.entry.id, copy);
+            state.directory.mark_unloaded(&target.entry.id, copy);
         }
         None => history.except.push(Arc::clone(&target.entry.id)),
     }
--- a/crates/ploverwick_gateway/src/filters/place.rs
+++ b/crates/ploverwick_gateway/src/filters/place.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_adapters::{Copy, Key, Need, Since, Supersession};
+use ploverwick_adapters::{Copy, Key, Need, Since, StalenessPolicy};
 use ploverwick_codes::Code;
 use ploverwick_endpoints::{Cost, Entry, Load, Query};
 use ploverwick_names::Moment;
@@ -245,8 +245,8 @@
     let expected = state.fleet.wait(&id, prompt, now).unwrap_or_default();
     let is_crowded = fill > CROWDED_FILL || others > task.route.objective.mul_f64(CROWDED);
     let is_older = held.version != wanted.version;
-    let replaced = state.directory.replaced(&held);
-    let begin_by = supersession(shared).begin_by(replaced, now);
+    let replaced = state.directory.replaced_since(&held);
+    let begin_by = supersession(shared).start_deadline(replaced, now);
     drop(state);
     if is_older || is_crowded {
         let need = if is_older { Need::Any } else { Need::Another };
@@ -276,9 +276,11 @@
 /// Returns an older version that may still be used while the newest is being loaded. Those below it
 /// were replaced no later.
 fn usable_older(shared: &Shared, state: &State, newest: &Copy, now: Moment) -> Option<u64> {
-    let version = state.directory.older(&newest.key, newest.version)?;
+    let version = state
+        .directory
+        .newest_held_below(&newest.key, newest.version)?;
     let key = newest.key.clone();
-    let since = state.directory.replaced(&Copy { key, version })?;
+    let since = state.directory.replaced_since(&Copy { key, version })?;
     let is_usable = supersession(shared).may_choose(since, now);
     is_usable.then_some(version)
 }
@@ -294,20 +296,20 @@
 ) -> bool {
     let prompt = task.call.prompt_tokens;
     let expected = state.fleet.wait(endpoint, prompt, now).unwrap_or_default();
-    let since = state.directory.replaced(older);
-    since.is_none_or(|since| supersession(shared).leaves_time(since, expected, now))
+    let since = state.directory.replaced_since(older);
+    since.is_none_or(|since| supersession(shared).can_start_in_time(since, expected, now))
 }
 
 /// Returns until when a request that has been sent may begin; `None` if no newer version is known.
 pub(super) fn begin_by(shared: &Shared, copy: &Copy) -> Option<Instant> {
     let now = shared.now();
-    let since = shared.state().directory.replaced(copy)?;
-    let moment = supersession(shared).begin_by(Some(since), now);
+    let since = shared.state().directory.replaced_since(copy)?;
+    let moment = supersession(shared).start_deadline(Some(since), now);
     Some(shared.clock.instant(moment))
 }
 
-fn supersession(shared: &Shared) -> Supersession {
-    Supersession {
+fn supersession(shared: &Shared) -> StalenessPolicy {
+    StalenessPolicy {
         bound: shared.settings.version,
     }
 }
--- a/crates/ploverwick_gateway/src/filters/seek.rs
+++ b/crates/ploverwick_gateway/src/filters/seek.rs
@@ -27,7 +27,7 @@
 fn home(shared: &Shared, task: &Task, copy: &Copy) -> Option<Arc<str>> {
     let now = shared.now();
     let state = shared.state();
-    if state.directory.coming(copy, now).is_some() {
+    if state.directory.loading_on(copy, now).is_some() {
         return None;
     }
     let names = shared.settings.domains.iter();
@@ -42,11 +42,11 @@
             })
         })
         .collect();
-    let past = state.directory.past(copy).iter();
+    let past = state.directory.previous_holders(copy).iter();
     let past = past.filter_map(|endpoint| state.fleet.entry(endpoint));
     let mut at_hand: Vec<&str> = past.map(|entry| &*entry.domain).collect();
     // The own failure domain first, if it is among several.
     at_hand.sort_by_key(|domain| **domain != *shared.settings.domain);
-    let home = ploverwick_adapters::home(&copy.key.to_string(), &domains, &at_hand)?;
+    let home = ploverwick_adapters::choose_domain(&copy.key.to_string(), &domains, &at_hand)?;
     Some(Arc::from(home.name))
 }
--- a/crates/ploverwick_gateway/src/handover.rs
+++ b/crates/ploverwick_gateway/src/handover.rs
@@ -94,7 +94,7 @@
     let now = shared.now();
     let state = shared.state();
     let stand = state.stands.of(topic);
-    let unseen = state.horizon.unseen();
+    let unseen = state.horizon.unread();
     drop(state);
     if stand.reading == Reading::Fails {
         return None;
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -70,7 +70,10 @@
         Message::Need { copy, need } => demand::take(shared, &copy, need),
         Message::Holds { endpoint, holdings } => {
             let copies = mail::copies(holdings);
-            shared.state().directory.reported(&endpoint, copies, now);
+            shared
+                .state()
+                .directory
+                .apply_report(&endpoint, copies, now);
             shared.placed.notify_waiters();
         }
         Message::Digests(digests) => compare(shared, &digests, from),
@@ -91,7 +94,7 @@
         } => freshness::hear(shared, question, end, Duration::from_millis(age_ms)),
         Message::QuotaLease { question, lease } => quotas::lent(shared, from, question, &lease),
         Message::QuotaGrants { question, grants } => quotas::given(shared, from, question, &grants),
-        Message::BaseLoad => shared.state().base_loads.begin(now),
+        Message::BaseLoad => shared.state().base_loads.record_load(now),
         Message::Vacant => shared.vacant.notify_one(),
         Message::Quarantined(entries) => quarantine::hear(shared, &entries, &from),
         Message::AskEndpointLimits => {
@@ -137,8 +140,8 @@
     let now = shared.now();
     let mut state = shared.state();
     for used in list {
-        if let Some(shelf) = state.placer.shelf(&used.endpoint) {
-            shelf.used(&used.copy, from, used.in_use, now);
+        if let Some(slots) = state.placer.slots(&used.endpoint) {
+            slots.record_use(&used.copy, from, used.in_use, now);
         }
     }
 }
@@ -154,9 +157,9 @@
             fate,
         } = change;
         match fate {
-            Fate::Coming => state.directory.expect(&endpoint, copy, now),
-            Fate::Loaded => state.directory.loaded(&endpoint, copy, now),
-            Fate::Unloaded => state.directory.unloaded(&endpoint, &copy),
+            Fate::Coming => state.directory.mark_loading(&endpoint, copy, now),
+            Fate::Loaded => state.directory.mark_loaded(&endpoint, copy, now),
+            Fate::Unloaded => state.directory.mark_unloaded(&endpoint, &copy),
         }
     }
     drop(state);
@@ -173,7 +176,7 @@
             continue;
         }
         if state.directory.digest(&told.endpoint) == Some(told.digest) {
-            state.directory.confirmed(&told.endpoint, now);
+            state.directory.confirm_report(&told.endpoint, now);
         } else {
             differ.push(Arc::clone(&told.endpoint));
         }
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use ploverwick_adapters::Terms;
+use ploverwick_adapters::LeasePolicy;
 use ploverwick_endpoints::Rate;
 use ploverwick_limits::Sharers;
 use ploverwick_names::Moment;
@@ -86,12 +86,12 @@
 impl Shared {
     pub(crate) fn new(settings: Settings, mail: Mail) -> Self {
         let clock = Clock::start();
-        let terms = Terms {
-            lease: TENURE.max(settings.shortest_ttl),
-            turn: settings.lease,
+        let terms = LeasePolicy {
+            duration: TENURE.max(settings.shortest_ttl),
+            reacquire_delay: settings.lease,
             fenced: settings.fenced,
             extension: EXTENSION,
-            calm: settings.calm,
+            min_stable: settings.calm,
         };
         let state = State::new(&settings, terms, clock.now());
         Self {
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_adapters::{Copy, Directory, Horizon, Pace, Placer, Tenure, Terms};
+use ploverwick_adapters::{Copy, Directory, Lease, LeasePolicy, LoadLimiter, Placer, Watermark};
 use ploverwick_endpoints::{
     Account, Budget, Census, Departures, Entry, Fleet, Held, Limits, Pauses, Rate,
 };
@@ -98,15 +98,15 @@
     pub(crate) lives: Lives,
     pub(crate) directory: Directory,
     /// What is proved of the age of what the operator wrote.
-    pub(crate) horizon: Horizon,
+    pub(crate) horizon: Watermark,
     /// What is proven of the age of the configuration.
     pub(crate) freshness: Freshness,
     /// How far this instance has read each topic of the store.
     pub(crate) stands: Stands,
     pub(crate) placer: Placer,
-    pub(crate) tenure: Tenure,
+    pub(crate) tenure: Lease,
     /// The base models that were loaded lately in this failure domain.
-    pub(crate) base_loads: Pace,
+    pub(crate) base_loads: LoadLimiter,
     pub(crate) budgets: HashMap<Arc<str>, Budget>,
     /// The instances that share what is bounded over all of them.
     pub(crate) census: Census,
@@ -133,7 +133,7 @@
 
 impl State {
     /// Makes the state of an instance that knows nothing yet.
-    pub(crate) fn new(settings: &Settings, terms: Terms, now: Moment) -> Self {
+    pub(crate) fn new(settings: &Settings, terms: LeasePolicy, now: Moment) -> Self {
         Self {
             config: None,
             has_roster: false,
@@ -151,15 +151,15 @@
             departures: Departures::default(),
             lives: Lives::default(),
             directory: Directory::default(),
-            horizon: Horizon::default(),
+            horizon: Watermark::default(),
             freshness: Freshness::default(),
             stands: Stands::default(),
             placer: Placer::default(),
-            tenure: Tenure::new(terms, !settings.first_start, now),
+            tenure: Lease::new(terms, !settings.first_start, now),
             base_loads: if settings.first_start {
-                Pace::default()
+                LoadLimiter::default()
             } else {
-                Pace::after_others(now)
+                LoadLimiter::after_unknown_loads(now)
             },
             budgets: HashMap::new(),
             census: Census::default(),
--- a/crates/ploverwick_gateway/src/tell.rs
+++ b/crates/ploverwick_gateway/src/tell.rs
@@ -44,10 +44,10 @@
 /// Tells what changed at an endpoint of this failure domain, together with what waits.
 pub(crate) fn changed(shared: &Shared, endpoint: &Arc<str>, event: &Event) {
     let (copy, fate) = match event {
-        Event::Coming(copy) => (copy, Fate::Coming),
+        Event::Loading(copy) => (copy, Fate::Coming),
         Event::Loaded(copy) => (copy, Fate::Loaded),
         Event::Unloaded(copy) => (copy, Fate::Unloaded),
-        Event::Learned(copies) => return learned(shared, endpoint, copies),
+        Event::Reported(copies) => return learned(shared, endpoint, copies),
         Event::BaseLoaded(_) => return,
     };
     let change = Change {
--- a/crates/ploverwick_gateway/src/tell/rounds.rs
+++ b/crates/ploverwick_gateway/src/tell/rounds.rs
@@ -55,7 +55,7 @@
     let now = shared.now();
     let mut state = shared.state();
     // This pause is the step by which a process that was held up is known.
-    state.horizon.run(now);
+    state.horizon.tick(now);
     limits::assign(shared, &mut state, now);
     let places = state.tenure.token(now);
     let is_far_turn = round.is_multiple_of(FAR_EVERY);
@@ -195,7 +195,10 @@
 
 /// Digests what the endpoints hold at which this instance places adapters.
 fn digests(state: &State) -> Vec<Digest> {
-    let known = state.placer.shelves().filter(|(_, shelf)| shelf.is_known());
+    let known = state
+        .placer
+        .endpoints()
+        .filter(|(_, slots)| slots.is_known());
     let digests = known.filter_map(|(endpoint, _)| {
         Some(Digest {
             endpoint: Arc::clone(endpoint),
@@ -218,8 +221,8 @@
         let Some(entry) = fleet.entry(endpoint) else {
             return *in_use > 0;
         };
-        if let Some(shelf) = placer.shelf(endpoint) {
-            shelf.used(copy, own, *in_use, now);
+        if let Some(slots) = placer.slots(endpoint) {
+            slots.record_use(copy, own, *in_use, now);
         }
         let list = by_domain.entry(Arc::clone(&entry.domain)).or_default();
         list.push(Used {
