--- a/crates/ploverwick_bench/src/decide.rs
+++ b/crates/ploverwick_bench/src/decide.rs
@@ -8,7 +8,7 @@
 
 use ploverwick_endpoints::{Entry, Fleet, Load, Query, State};
 use ploverwick_names::Moment;
-use ploverwick_quota::{Allocation, Ask, Lease, Pool};
+use ploverwick_quota::{Allocation, GrantRequest, Lease, Pool};
 use ploverwick_routes::{Declaration, KeyDigest, Organisation, Organisations, Quota, Unit};
 
 /// Endpoints and peers that report, in fleets of today and of the largest kind.
@@ -35,13 +35,13 @@
     let name: Arc<str> = Arc::from("o0");
     let mut allocation = allocation(&name);
     print("quota, granted ahead", times, || {
-        black_box(allocation.take(&name, &quota(), 1, NOW));
-        allocation.give_back(&name, 1, NOW);
+        black_box(allocation.acquire(&name, &quota(), 1, NOW));
+        allocation.refund(&name, 1, NOW);
     });
     let mut pool = pool();
     let ask = ask(&name, 1);
     print("quota, asked of a pool of 74 parts", times, || {
-        black_box(pool.ask(&ask, &quota(), NOW));
+        black_box(pool.grant(&ask, &quota(), NOW));
     });
     for (endpoints, peers) in FLEETS {
         let fleet = fleet(endpoints, peers);
@@ -89,11 +89,11 @@
     }
 }
 
-fn ask(name: &Arc<str>, need: u32) -> Ask {
-    Ask {
+fn ask(name: &Arc<str>, need: u32) -> GrantRequest {
+    GrantRequest {
         organisation: Arc::clone(name),
-        needs: vec![need],
-        extra: 0,
+        costs: vec![need],
+        prefetch: 0,
     }
 }
 
@@ -105,12 +105,12 @@
 fn pool() -> Pool {
     let mut pool = Pool::new(Duration::from_secs(8));
     let lease = Lease {
-        sharers: 74,
+        instance_count: 74,
         lease_ms: 60_000,
-        asks: Vec::new(),
+        grant_requests: Vec::new(),
     };
     for number in 0..74 {
-        pool.lend(ip(number), &lease, Moment(0));
+        pool.apply_lease(ip(number), &lease, Moment(0));
     }
     pool
 }
@@ -118,8 +118,8 @@
 /// A allocation that holds enough.
 fn allocation(name: &Arc<str>) -> Allocation {
     let mut allocation = Allocation::new(ip(0), Moment(0));
-    allocation.take(name, &quota(), 1_000, NOW);
-    allocation.give_back(name, 1_000, NOW);
+    allocation.acquire(name, &quota(), 1_000, NOW);
+    allocation.refund(name, 1_000, NOW);
     allocation
 }
 
--- a/crates/ploverwick_gateway/src/controllers/quotas.rs
+++ b/crates/ploverwick_gateway/src/controllers/quotas.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Moment;
-use ploverwick_quota::{Ask, Grant, Lease};
+use ploverwick_quota::{Grant, GrantRequest, Lease};
 use ploverwick_routes::Config;
 use tokio::time::Instant;
 
@@ -97,7 +97,7 @@
     let told = shared
         .state()
         .allocation
-        .tell(&fleet.pools, fleet.sharers, now);
+        .prepare_leases(&fleet.pools, fleet.sharers, now);
     for (to, lease) in told {
         if to == own {
             let granted = take_in(shared, own, &lease);
@@ -120,28 +120,28 @@
 fn take_in(shared: &Shared, from: IpAddr, lease: &Lease) -> Vec<Grant> {
     let now = shared.now();
     let mut state = shared.state();
-    state.quota_pool.lend(from, lease, now);
+    state.quota_pool.apply_lease(from, lease, now);
     let Some(config) = state.config.clone() else {
         return Vec::new();
     };
-    let asks = lease.asks.iter();
+    let asks = lease.grant_requests.iter();
     let grants = asks.filter_map(|ask| grant(&mut state, &config, ask, now));
     grants.collect()
 }
 
 /// Grants what there is room for; nothing to an organisation that the configuration does not know, and all
 /// to one that has no quota any more.
-fn grant(state: &mut State, config: &Config, ask: &Ask, now: Moment) -> Option<Grant> {
+fn grant(state: &mut State, config: &Config, ask: &GrantRequest, now: Moment) -> Option<Grant> {
     let organisation = config.organisations()?.named(&ask.organisation)?;
     let Some(quota) = &organisation.quota else {
-        let needs = ask.needs.iter().copied();
+        let needs = ask.costs.iter().copied();
         return Some(Grant {
             organisation: Arc::clone(&ask.organisation),
             units: needs.fold(0, u32::saturating_add),
             wait_ms: 0,
         });
     };
-    Some(state.quota_pool.ask(ask, quota, now))
+    Some(state.quota_pool.grant(ask, quota, now))
 }
 
 /// Takes in what a pool grants.
@@ -151,7 +151,9 @@
     }
     let now = shared.now();
     let mut state = shared.state();
-    state.allocation.answered(from, question.at, grants, now);
+    state
+        .allocation
+        .handle_grants(from, question.at, grants, now);
     let has_urgent = state.allocation.has_urgent();
     drop(state);
     shared.quota_settled.notify_waiters();
--- a/crates/ploverwick_gateway/src/filters/quota.rs
+++ b/crates/ploverwick_gateway/src/filters/quota.rs
@@ -6,7 +6,7 @@
 
 use ploverwick_codes::Code;
 use ploverwick_names::Moment;
-use ploverwick_quota::{Claim, Take, Ticket};
+use ploverwick_quota::{Admission, Decision, Ticket};
 use ploverwick_routes::{Organisation, Quota};
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
         if self.sends.load(Ordering::Relaxed) == 0 {
             let name = &self.organisation.name;
             let mut state = self.shared.state();
-            state.allocation.give_back(name, self.cost, self.granted);
+            state.allocation.refund(name, self.cost, self.granted);
         }
     }
 }
@@ -67,7 +67,9 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         let mut state = self.shared.state();
-        state.allocation.leave(&self.organisation.name, self.ticket);
+        state
+            .allocation
+            .cancel(&self.organisation.name, self.ticket);
     }
 }
 
@@ -89,12 +91,14 @@
         let claim = take(shared, organisation, quota, cost, until).await;
         match claim {
             // There is room before it could not be on time any more.
-            Claim::Over(wait) if Instant::now() + wait < until => tokio::time::sleep(wait).await,
-            Claim::Granted | Claim::Over(_) | Claim::Waits => break claim,
+            Decision::OverQuota(wait) if Instant::now() + wait < until => {
+                tokio::time::sleep(wait).await
+            }
+            Decision::Granted | Decision::OverQuota(_) | Decision::Pending => break claim,
         }
     };
     match claim {
-        Claim::Granted => {
+        Decision::Granted => {
             metrics::quota_units(&organisation.name, cost);
             Ok(Some(Charge {
                 shared: Arc::clone(shared),
@@ -104,8 +108,8 @@
                 sends: AtomicU32::new(0),
             }))
         }
-        Claim::Over(wait) => Err(refuse(shared, task, organisation, cost, Some(wait))),
-        Claim::Waits => Err(refuse(shared, task, organisation, cost, None)),
+        Decision::OverQuota(wait) => Err(refuse(shared, task, organisation, cost, Some(wait))),
+        Decision::Pending => Err(refuse(shared, task, organisation, cost, None)),
     }
 }
 
@@ -116,14 +120,14 @@
     quota: &Quota,
     cost: u32,
     until: Instant,
-) -> Claim {
+) -> Decision {
     let now = shared.now();
     let name = &organisation.name;
-    let taken = shared.state().allocation.take(name, quota, cost, now);
+    let taken = shared.state().allocation.acquire(name, quota, cost, now);
     match taken {
-        Take::Granted => Claim::Granted,
-        Take::Over(wait) => Claim::Over(wait),
-        Take::Waits(ticket) => wait(shared, organisation, ticket, until).await,
+        Admission::Granted => Decision::Granted,
+        Admission::OverQuota(wait) => Decision::OverQuota(wait),
+        Admission::Pending(ticket) => wait(shared, organisation, ticket, until).await,
     }
 }
 
@@ -133,7 +137,7 @@
     organisation: &Organisation,
     ticket: Ticket,
     until: Instant,
-) -> Claim {
+) -> Decision {
     let waiting = Waiting {
         shared,
         organisation,
@@ -145,8 +149,8 @@
         let claim = shared
             .state()
             .allocation
-            .claim(&organisation.name, waiting.ticket);
-        if claim != Claim::Waits || tokio::time::timeout_at(until, settled).await.is_err() {
+            .poll(&organisation.name, waiting.ticket);
+        if claim != Decision::Pending || tokio::time::timeout_at(until, settled).await.is_err() {
             return claim;
         }
     }
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -156,7 +156,7 @@
             .config
             .as_ref()
             .is_some_and(|config| config.has_quotas());
-        let can_count = !has_quotas || state.allocation.has_lent();
+        let can_count = !has_quotas || state.allocation.has_leased();
         knows_all && is_fresh && can_count && can_take && !self.is_stopping()
     }
 
--- a/crates/ploverwick_quota/src/allocation.rs
+++ b/crates/ploverwick_quota/src/allocation.rs
@@ -1,4 +1,4 @@
-//! What one instance may use of each organisation's quota.
+//! The units that one instance may use of each organisation's quota.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -9,479 +9,520 @@
 use ploverwick_routes::Quota;
 
 use crate::demand::Demand;
-use crate::hint;
-use crate::lots::Lots;
-use crate::{AHEAD, Ask, Grant, Lease, lent, period};
-
-/// How long a message may take beyond the time for which parts are lent: the pool counts that time from when
-/// the message came.
-const TRANSIT: Duration = Duration::from_millis(100);
-/// How long an answer is awaited before a waiting request is asked for again.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
-/// How long a pool may leave messages unanswered before another one is looked for.
-const SILENT: Duration = Duration::from_millis(350);
-/// The pause after a message to a pool that was not answered.
-const DOUBTED: Duration = Duration::from_millis(100);
-/// How long a pool that was silent is passed over: it may have started later than this instance, and where
-/// instances differ in whom they passed over, each pool has a part of the quotas.
-const PASSED_OVER: Duration = Duration::from_secs(2);
-/// How long an answer shows that an instance can pool.
-const ALIVE: Duration = Duration::from_millis(1_500);
-/// How often those that come before the pool in use are asked whether they can pool.
-const LOOK: Duration = Duration::from_secs(1);
-/// How many instances are asked at once whether they can pool: several may have died together.
-const CANDIDATES: usize = 4;
-/// How many messages in a row may stay unanswered: one may be lost, and the answer to the next.
-const MOST_UNANSWERED: u32 = 2;
-/// How long an instance that nobody answers looks before it pools its own parts.
-const ALONE: Duration = Duration::from_millis(700);
-/// How long an account without use is kept.
-const IDLE: Duration = Duration::from_secs(30);
-
-/// Names a request that waits.
+use crate::retry_after;
+use crate::unspent::UnspentUnits;
+use crate::{Grant, GrantRequest, Lease, PREFETCH_HORIZON, lease_duration, lease_interval};
+
+/// The assumed maximum delay of a message. A pool counts the duration of a lease from the arrival of the message, so
+/// the owner waits this much longer before it reuses its share.
+const MAX_TRANSIT_DELAY: Duration = Duration::from_millis(100);
+/// How long to wait for an answer before units for a pending request are requested again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
+/// How long a pool may leave messages unanswered before it is replaced.
+const POOL_TIMEOUT: Duration = Duration::from_millis(350);
+/// The interval between messages to a pool that has not answered the last one.
+const UNANSWERED_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long an unresponsive pool is excluded. This is short because the pool may merely have started later than
+/// this instance, and because instances that exclude different candidates split the quotas over several pools.
+const EXCLUSION_PERIOD: Duration = Duration::from_secs(2);
+/// How long after an answer an instance is considered able to act as a pool.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How often the candidates preferred to the current pool are probed.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// How many candidates are probed at once, since several may have failed together.
+const MAX_CANDIDATES: usize = 4;
+/// How many consecutive messages may stay unanswered: one may be lost, and then the answer to the next.
+const MAX_UNANSWERED: u32 = 2;
+/// How long an instance that gets no answer searches for a pool before it pools its own share.
+const SELF_POOL_DELAY: Duration = Duration::from_millis(700);
+/// How long the account of an organisation without requests is kept.
+const IDLE_ACCOUNT_TTL: Duration = Duration::from_secs(30);
+
+/// Identifies a pending request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(u64);
 
-/// What becomes of a request.
+/// The immediate result of [`Allocation::acquire`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Take {
-    /// It is within the quota and counts.
+pub enum Admission {
+    /// The request is within the quota and is charged to it.
     Granted,
-    /// A pool has to be asked.
-    Waits(Ticket),
-    /// It is over the quota; there is room after a time.
-    Over(Duration),
+    /// The request waits for an answer of the pool.
+    Pending(Ticket),
+    /// The request is over the quota; it may be retried after this time.
+    OverQuota(Duration),
 }
 
-/// What has become of a request that waits.
+/// The state of a request that had to wait for the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Claim {
-    /// It is within the quota and counts.
+pub enum Decision {
+    /// The request is within the quota and is charged to it.
     Granted,
-    /// It still waits.
-    Waits,
-    /// It is over the quota; there is room after a time.
-    Over(Duration),
+    /// The pool has not answered yet.
+    Pending,
+    /// The request is over the quota; it may be retried after this time.
+    OverQuota(Duration),
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     ticket: Ticket,
     cost: u32,
-    /// When a pool was last asked for it.
-    asked: Option<Moment>,
+    /// When units for it were last requested from a pool.
+    requested_at: Option<Moment>,
 }
 
-/// What became of a request.
+/// A request that is no longer pending, until its decision is polled.
 #[derive(Debug, Clone, Copy)]
-struct Settled {
+struct DecidedRequest {
     cost: u32,
-    claim: Claim,
+    decision: Decision,
     at: Moment,
 }
 
-/// What one organisation may use here.
+/// The state of one organisation at this instance.
 #[derive(Debug, Default)]
 struct Account {
-    /// What was granted and not used.
-    units: Lots,
+    /// Units that were granted and not used.
+    unspent: UnspentUnits,
     demand: Demand,
-    waiting: Vec<Waiting>,
-    /// What became of those that waited and have not looked yet.
-    settled: HashMap<Ticket, Settled>,
-    used: Moment,
+    pending: Vec<PendingRequest>,
+    /// Decisions that have not been polled yet.
+    decided: HashMap<Ticket, DecidedRequest>,
+    last_used: Moment,
 }
 
-/// Where this instance's parts are.
+/// Where this instance's share of the quotas is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Parts {
-    /// Here since a moment.
-    Own { since: Moment },
-    /// At a pool.
-    Lent {
+enum ShareState {
+    /// At this instance, and not leased.
+    Held { since: Moment },
+    /// Leased to a pool.
+    Leased {
         pool: IpAddr,
-        /// Until when the pool may use them.
+        /// When the lease expires.
         until: Moment,
-        /// Since when it has not answered, and the messages since.
-        silent: Option<Moment>,
+        /// When the first message since the last answer was sent.
+        unanswered_since: Option<Moment>,
+        /// The number of messages since the last answer.
         unanswered: u32,
     },
-    /// A pool may use them until a moment, or until it answers that it gave them back.
-    Leaving {
+    /// Being reclaimed from a pool, until the lease expires or the pool confirms the return.
+    Reclaiming {
         pool: IpAddr,
         until: Moment,
-        /// When it was asked to.
-        asked: Option<Moment>,
+        /// When the return was requested.
+        requested_at: Option<Moment>,
     },
 }
 
-/// What is known of an instance that may pool.
+/// What is known of an instance that may act as a pool.
 #[derive(Debug, Clone, Copy, Default)]
 struct Candidate {
     /// When it last answered.
-    answered: Option<Moment>,
-    /// Questions since then.
+    answered_at: Option<Moment>,
+    /// The number of probes since then.
     unanswered: u32,
-    /// Until when it is passed over.
-    passed_over: Moment,
+    /// Until when it is not considered.
+    excluded_until: Moment,
 }
 
-/// What one instance may use.
+/// The units that one instance may use of each organisation's quota.
 #[derive(Debug)]
 pub struct Allocation {
     own: IpAddr,
     accounts: HashMap<Arc<str>, Account>,
-    parts: Parts,
+    share_state: ShareState,
     candidates: HashMap<IpAddr, Candidate>,
-    sharers: usize,
-    next: u64,
-    /// When the last message went out.
-    told: Option<Moment>,
-    /// When it was last looked who can pool.
-    looked: Option<Moment>,
+    instance_count: usize,
+    next_ticket: u64,
+    /// When the last messages were sent.
+    last_sent: Option<Moment>,
+    /// When candidates were last probed.
+    last_probe: Option<Moment>,
     has_urgent: bool,
-    has_lent: bool,
+    has_leased: bool,
 }
 
 impl Allocation {
-    /// Makes the allocation of the instance at `own` that starts.
+    /// Creates the allocation of an instance at the address `own` that has just started.
     pub fn new(own: IpAddr, now: Moment) -> Self {
         Self {
             own,
             accounts: HashMap::new(),
-            parts: Parts::Own { since: now },
+            share_state: ShareState::Held { since: now },
             candidates: HashMap::new(),
-            sharers: 0,
-            next: 0,
-            told: None,
-            looked: None,
+            instance_count: 0,
+            next_ticket: 0,
+            last_sent: None,
+            last_probe: None,
             has_urgent: false,
-            has_lent: false,
+            has_leased: false,
         }
     }
 
-    /// Takes in a request that counts as `cost`.
-    pub fn take(&mut self, name: &Arc<str>, quota: &Quota, cost: u32, now: Moment) -> Take {
+    /// Acquires `cost` units for a request, or registers it as pending.
+    pub fn acquire(&mut self, name: &Arc<str>, quota: &Quota, cost: u32, now: Moment) -> Admission {
         let account = self.accounts.entry(Arc::clone(name)).or_default();
         let units = f64::from(cost);
         account.demand.add(units, now);
-        account.used = now;
-        account.units.lapse(now);
+        account.last_used = now;
+        account.unspent.expire(now);
         if quota.rate <= 0.0 {
-            return Take::Over(hint::of(Duration::MAX));
+            return Admission::OverQuota(retry_after::clamp(Duration::MAX));
         }
-        if account.waiting.is_empty() && account.units.take(units) {
-            return Take::Granted;
+        if account.pending.is_empty() && account.unspent.take(units) {
+            return Admission::Granted;
         }
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        account.waiting.push(Waiting {
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
+        account.pending.push(PendingRequest {
             ticket,
             cost,
-            asked: None,
+            requested_at: None,
         });
         self.has_urgent = true;
-        Take::Waits(ticket)
+        Admission::Pending(ticket)
     }
 
-    /// Returns what has become of a request that waits. Anything but a wait is told once.
-    pub fn claim(&mut self, name: &str, ticket: Ticket) -> Claim {
+    /// Returns the decision on a pending request. A decision other than [`Decision::Pending`] is returned once.
+    pub fn poll(&mut self, name: &str, ticket: Ticket) -> Decision {
         let account = self.accounts.get_mut(name);
-        let settled = account.and_then(|account| account.settled.remove(&ticket));
-        settled.map_or(Claim::Waits, |settled| settled.claim)
+        let decided = account.and_then(|account| account.decided.remove(&ticket));
+        decided.map_or(Decision::Pending, |decided| decided.decision)
     }
 
-    /// Forgets a request that waits no more.
-    pub fn leave(&mut self, name: &str, ticket: Ticket) {
+    /// Removes a pending request, and returns its units if they were granted but not polled.
+    pub fn cancel(&mut self, name: &str, ticket: Ticket) {
         let Some(account) = self.accounts.get_mut(name) else {
             return;
         };
-        account.waiting.retain(|waiting| waiting.ticket != ticket);
-        let settled = account.settled.remove(&ticket);
-        if let Some(settled) = settled.filter(|settled| settled.claim == Claim::Granted) {
-            account.units.add(f64::from(settled.cost), settled.at);
+        account.pending.retain(|pending| pending.ticket != ticket);
+        let decided = account.decided.remove(&ticket);
+        if let Some(decided) = decided.filter(|decided| decided.decision == Decision::Granted) {
+            account.unspent.add(f64::from(decided.cost), decided.at);
         }
     }
 
-    /// Gives back what a request counted as, granted at a moment, that certainly did not run. A request may
-    /// have waited for long: what was granted long ago is not used again.
-    pub fn give_back(&mut self, name: &str, cost: u32, granted: Moment) {
+    /// Refunds the units of a request that certainly did not run. The request may have been queued for long, so
+    /// units are not reused if `granted_at` is long ago.
+    pub fn refund(&mut self, name: &str, cost: u32, granted_at: Moment) {
         if let Some(account) = self.accounts.get_mut(name) {
-            account.units.add(f64::from(cost), granted);
+            account.unspent.add(f64::from(cost), granted_at);
         }
     }
 
-    /// Returns whether a request waits that no pool was asked for yet.
+    /// Returns whether messages should be sent before [`Self::due`], for example because units for a pending request
+    /// have not been requested yet.
     pub fn has_urgent(&self) -> bool {
         self.has_urgent
     }
 
-    /// Returns when the next message is due.
+    /// Returns when the next messages are due.
     pub fn due(&self) -> Moment {
-        let pause = match self.parts {
-            Parts::Lent {
-                silent: Some(_), ..
-            } => DOUBTED.min(period(self.sharers)),
-            Parts::Lent { .. } | Parts::Own { .. } | Parts::Leaving { .. } => period(self.sharers),
+        let pause = match self.share_state {
+            ShareState::Leased {
+                unanswered_since: Some(_),
+                ..
+            } => UNANSWERED_RETRY_INTERVAL.min(lease_interval(self.instance_count)),
+            ShareState::Leased { .. } | ShareState::Held { .. } | ShareState::Reclaiming { .. } => {
+                lease_interval(self.instance_count)
+            }
         };
-        let regular = self.told.map_or(Moment(0), |told| told + pause);
-        let waiting = self.accounts.values().flat_map(|account| &account.waiting);
-        let asked = waiting.filter_map(|waiting| waiting.asked).min();
-        asked.map_or(regular, |asked| regular.min(asked + ASK_AGAIN))
+        let regular = self
+            .last_sent
+            .map_or(Moment(0), |last_sent| last_sent + pause);
+        let pending = self.accounts.values().flat_map(|account| &account.pending);
+        let requested_at = pending.filter_map(|pending| pending.requested_at).min();
+        requested_at.map_or(regular, |requested_at| {
+            regular.min(requested_at + RETRY_INTERVAL)
+        })
     }
 
-    /// Returns whether a pool was ever found.
-    pub fn has_lent(&self) -> bool {
-        self.has_lent
+    /// Returns whether the share has been leased since the start, be it to this instance itself.
+    pub fn has_leased(&self) -> bool {
+        self.has_leased
     }
 
-    /// Returns the pool that is asked, if there is one.
+    /// Returns the pool that the share is leased to, if any.
     pub fn pool(&self) -> Option<IpAddr> {
-        match self.parts {
-            Parts::Lent { pool, .. } => Some(pool),
-            Parts::Own { .. } | Parts::Leaving { .. } => None,
+        match self.share_state {
+            ShareState::Leased { pool, .. } => Some(pool),
+            ShareState::Held { .. } | ShareState::Reclaiming { .. } => None,
         }
     }
 
-    /// Makes the next messages and says to whom. `pools` lists who may pool, the first one first; this
-    /// instance is among them. `sharers` counts the instances that share.
-    pub fn tell(&mut self, pools: &[IpAddr], sharers: usize, now: Moment) -> Vec<(IpAddr, Lease)> {
-        self.sharers = sharers;
-        self.told = Some(now);
+    /// Returns the next messages and their recipients. `pools` lists the instances that may act as a pool, including
+    /// this one, in order of preference. `instance_count` is the number of instances that share the quotas.
+    pub fn prepare_leases(
+        &mut self,
+        pools: &[IpAddr],
+        instance_count: usize,
+        now: Moment,
+    ) -> Vec<(IpAddr, Lease)> {
+        self.instance_count = instance_count;
+        self.last_sent = Some(now);
         self.has_urgent = false;
         self.accounts.retain(|_, account| !account.is_idle(now));
-        let mut out = Vec::new();
-        self.move_parts(pools, now, &mut out);
-        self.look(pools, now, &mut out);
-        let Parts::Lent {
+        let mut messages = Vec::new();
+        self.update_share_state(pools, now, &mut messages);
+        self.probe_candidates(pools, now, &mut messages);
+        let ShareState::Leased {
             pool,
             until,
-            silent,
+            unanswered_since,
             unanswered,
-        } = &mut self.parts
+        } = &mut self.share_state
         else {
-            return out;
+            return messages;
         };
-        let span = lent(period(sharers));
-        // What is lent to a pool that may be gone is missed until it runs out, so that no more is.
-        let left = match silent {
-            Some(_) => until.since(now).saturating_sub(TRANSIT),
-            None => span,
+        let duration = lease_duration(lease_interval(instance_count));
+        // A lease is not extended while the pool does not answer: the pool may have failed, and the share cannot be
+        // used elsewhere until the lease expires.
+        let left = match unanswered_since {
+            Some(_) => until.since(now).saturating_sub(MAX_TRANSIT_DELAY),
+            None => duration,
         };
-        if silent.is_none() {
-            *until = now + span + TRANSIT;
+        if unanswered_since.is_none() {
+            *until = now + duration + MAX_TRANSIT_DELAY;
         }
-        silent.get_or_insert(now);
+        unanswered_since.get_or_insert(now);
         *unanswered += 1;
         let pool = *pool;
-        let asks = self.accounts.iter_mut();
-        let asks = asks.filter_map(|(name, account)| account.ask(name, now));
+        let grant_requests = self.accounts.iter_mut();
+        let grant_requests =
+            grant_requests.filter_map(|(name, account)| account.build_request(name, now));
         let lease = Lease {
-            sharers: count(sharers),
+            instance_count: saturating_count(instance_count),
             lease_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX).max(1),
-            asks: asks.collect(),
+            grant_requests: grant_requests.collect(),
         };
-        out.push((pool, lease));
-        out
+        messages.push((pool, lease));
+        messages
     }
 
-    /// Decides where the parts go.
-    fn move_parts(&mut self, pools: &[IpAddr], now: Moment, out: &mut Vec<(IpAddr, Lease)>) {
-        match self.parts {
-            Parts::Lent {
+    /// Leases or reclaims the share, depending on the state of the current pool and the candidates.
+    fn update_share_state(
+        &mut self,
+        pools: &[IpAddr],
+        now: Moment,
+        messages: &mut Vec<(IpAddr, Lease)>,
+    ) {
+        match self.share_state {
+            ShareState::Leased {
                 pool,
                 until,
-                silent: Some(since),
+                unanswered_since: Some(since),
                 unanswered,
-            } if unanswered > MOST_UNANSWERED && now.since(since) >= SILENT => {
-                self.pass_over(pool, now);
-                self.parts = Parts::Leaving {
+            } if unanswered > MAX_UNANSWERED && now.since(since) >= POOL_TIMEOUT => {
+                self.exclude(pool, now);
+                self.share_state = ShareState::Reclaiming {
                     pool,
                     until,
-                    asked: None,
+                    requested_at: None,
                 };
-                self.looked = None;
+                self.last_probe = None;
             }
-            Parts::Lent {
+            ShareState::Leased {
                 pool,
                 until,
-                silent: None,
+                unanswered_since: None,
                 ..
-            } if self.best(pools, now).is_some_and(|best| best != pool) => {
-                // It is told, so that what it grants from now on rests on others' parts.
-                out.push((pool, self.nothing()));
-                let asked = Some(now);
-                self.parts = Parts::Leaving { pool, until, asked };
+            } if self.best_pool(pools, now).is_some_and(|best| best != pool) => {
+                // End the lease at the pool, so that its further grants draw only on other shares.
+                messages.push((pool, self.empty_lease()));
+                let requested_at = Some(now);
+                self.share_state = ShareState::Reclaiming {
+                    pool,
+                    until,
+                    requested_at,
+                };
             }
-            Parts::Leaving { until, .. } if until <= now => {
-                self.parts = Parts::Own { since: now };
-                self.lend(pools, now, now);
+            ShareState::Reclaiming { until, .. } if until <= now => {
+                self.share_state = ShareState::Held { since: now };
+                self.lend_share(pools, now, now);
             }
-            Parts::Own { since } => self.lend(pools, since, now),
-            Parts::Lent { .. } | Parts::Leaving { .. } => {}
+            ShareState::Held { since } => self.lend_share(pools, since, now),
+            ShareState::Leased { .. } | ShareState::Reclaiming { .. } => {}
         }
     }
 
-    /// Lends the parts, which are here since a moment, to the best pool; to this instance itself if nobody
-    /// answers.
-    fn lend(&mut self, pools: &[IpAddr], since: Moment, now: Moment) {
-        let is_alone = now.since(since) >= ALONE;
-        let pool = self.best(pools, now);
+    /// Leases the share to the best pool, or to this instance itself if no candidate has answered within
+    /// [`SELF_POOL_DELAY`] of `since`.
+    fn lend_share(&mut self, pools: &[IpAddr], since: Moment, now: Moment) {
+        let is_alone = now.since(since) >= SELF_POOL_DELAY;
+        let pool = self.best_pool(pools, now);
         if let Some(pool) = pool.or_else(|| is_alone.then_some(self.own)) {
-            self.has_lent = true;
-            self.parts = Parts::Lent {
+            self.has_leased = true;
+            self.share_state = ShareState::Leased {
                 pool,
                 until: now,
-                silent: None,
+                unanswered_since: None,
                 unanswered: 0,
             };
         }
     }
 
-    /// Returns the first instance that has shown that it can pool.
-    fn best(&self, pools: &[IpAddr], now: Moment) -> Option<IpAddr> {
+    /// Returns the most preferred instance that is known to be able to act as a pool.
+    fn best_pool(&self, pools: &[IpAddr], now: Moment) -> Option<IpAddr> {
         let usable = pools.iter().filter(|ip| self.is_usable(**ip, now));
-        let mut usable = usable.take(CANDIDATES).copied();
+        let mut usable = usable.take(MAX_CANDIDATES).copied();
         usable.find(|ip| *ip == self.own || self.is_alive(*ip, now))
     }
 
     fn is_usable(&self, ip: IpAddr, now: Moment) -> bool {
         let candidate = self.candidates.get(&ip);
-        candidate.is_none_or(|candidate| candidate.passed_over <= now)
+        candidate.is_none_or(|candidate| candidate.excluded_until <= now)
     }
 
     fn is_alive(&self, ip: IpAddr, now: Moment) -> bool {
-        let answered = self.candidates.get(&ip).and_then(|one| one.answered);
-        answered.is_some_and(|at| now.since(at) <= ALIVE)
+        let answered_at = self
+            .candidates
+            .get(&ip)
+            .and_then(|candidate| candidate.answered_at);
+        answered_at.is_some_and(|at| now.since(at) <= LIVENESS_TIMEOUT)
     }
 
-    fn pass_over(&mut self, ip: IpAddr, now: Moment) {
+    fn exclude(&mut self, ip: IpAddr, now: Moment) {
         let candidate = self.candidates.entry(ip).or_default();
-        candidate.passed_over = now + PASSED_OVER;
+        candidate.excluded_until = now + EXCLUSION_PERIOD;
         candidate.unanswered = 0;
-        candidate.answered = None;
+        candidate.answered_at = None;
     }
 
-    /// Asks those that come first whether they can pool.
-    fn look(&mut self, pools: &[IpAddr], now: Moment, out: &mut Vec<(IpAddr, Lease)>) {
+    /// Probes the candidates that are preferred to the current pool.
+    fn probe_candidates(
+        &mut self,
+        pools: &[IpAddr],
+        now: Moment,
+        messages: &mut Vec<(IpAddr, Lease)>,
+    ) {
         let pool = self.pool();
         let pause = if pool.is_some() {
-            LOOK
+            PROBE_INTERVAL
         } else {
-            period(self.sharers)
+            lease_interval(self.instance_count)
         };
-        if self.looked.is_some_and(|at| now.since(at) < pause) {
+        if self.last_probe.is_some_and(|at| now.since(at) < pause) {
             return;
         }
-        self.looked = Some(now);
+        self.last_probe = Some(now);
         let usable = pools.iter().filter(|ip| self.is_usable(**ip, now));
-        let first: Vec<IpAddr> = usable.take(CANDIDATES).copied().collect();
+        let first: Vec<IpAddr> = usable.take(MAX_CANDIDATES).copied().collect();
         for ip in first {
             if Some(ip) == pool || ip == self.own {
-                // Those that come after it are no better.
+                // The remaining candidates are less preferred.
                 break;
             }
             let candidate = self.candidates.entry(ip).or_default();
             candidate.unanswered += 1;
-            if candidate.unanswered > MOST_UNANSWERED {
-                self.pass_over(ip, now);
+            if candidate.unanswered > MAX_UNANSWERED {
+                self.exclude(ip, now);
             } else {
-                out.push((ip, self.nothing()));
+                messages.push((ip, self.empty_lease()));
             }
         }
     }
 
-    /// Makes a message that lends nothing.
-    fn nothing(&self) -> Lease {
+    /// Returns a message that leases nothing, used as a probe and to end a lease.
+    fn empty_lease(&self) -> Lease {
         Lease {
-            sharers: count(self.sharers),
+            instance_count: saturating_count(self.instance_count),
             lease_ms: 0,
-            asks: Vec::new(),
+            grant_requests: Vec::new(),
         }
     }
 
-    /// Takes in an answer to the message of `asked`.
-    pub fn answered(&mut self, from: IpAddr, asked: Moment, grants: &[Grant], now: Moment) {
+    /// Handles the answer of `from` to the message sent at `requested_at`.
+    pub fn handle_grants(
+        &mut self,
+        from: IpAddr,
+        requested_at: Moment,
+        grants: &[Grant],
+        now: Moment,
+    ) {
         let candidate = self.candidates.entry(from).or_default();
-        candidate.answered = Some(now);
+        candidate.answered_at = Some(now);
         candidate.unanswered = 0;
-        match &mut self.parts {
-            Parts::Lent {
+        match &mut self.share_state {
+            ShareState::Leased {
                 pool,
-                silent,
+                unanswered_since,
                 unanswered,
                 ..
             } if *pool == from => {
-                *silent = None;
+                *unanswered_since = None;
                 *unanswered = 0;
             }
-            Parts::Leaving {
-                pool, asked: back, ..
-            } if *pool == from && *back == Some(asked) => {
-                self.parts = Parts::Own { since: now };
+            ShareState::Reclaiming {
+                pool,
+                requested_at: reclaim_sent,
+                ..
+            } if *pool == from && *reclaim_sent == Some(requested_at) => {
+                self.share_state = ShareState::Held { since: now };
                 self.has_urgent = true;
             }
-            // A start waits for it.
-            Parts::Own { .. } => self.has_urgent = true,
-            Parts::Lent { .. } | Parts::Leaving { .. } => {}
+            // An instance without a pool can lease its share now that a candidate has answered.
+            ShareState::Held { .. } => self.has_urgent = true,
+            ShareState::Leased { .. } | ShareState::Reclaiming { .. } => {}
         }
         for grant in grants {
             if let Some(account) = self.accounts.get_mut(&grant.organisation) {
-                account.granted(asked, grant, now);
+                account.apply_grant(requested_at, grant, now);
             }
         }
     }
 }
 
-fn count(sharers: usize) -> u32 {
-    u32::try_from(sharers).unwrap_or(u32::MAX)
+fn saturating_count(instance_count: usize) -> u32 {
+    u32::try_from(instance_count).unwrap_or(u32::MAX)
 }
 
 impl Account {
-    /// Makes what is asked of a pool, if anything is.
-    fn ask(&mut self, name: &Arc<str>, now: Moment) -> Option<Ask> {
-        self.units.lapse(now);
-        let target = self.demand.rate(now) * AHEAD.as_secs_f64();
-        let units = self.units.sum();
-        let is_worth_it = target >= self.demand.mean() && units < target / 2.0;
-        let extra = if is_worth_it { target - units } else { 0.0 };
-        let due = self.waiting.iter_mut().filter(|waiting| {
-            let asked = waiting.asked;
-            asked.is_none_or(|asked| now.since(asked) >= ASK_AGAIN)
+    /// Builds the request to the pool, or returns `None` if no units are needed.
+    fn build_request(&mut self, name: &Arc<str>, now: Moment) -> Option<GrantRequest> {
+        self.unspent.expire(now);
+        let target = self.demand.rate(now) * PREFETCH_HORIZON.as_secs_f64();
+        let unspent = self.unspent.sum();
+        let is_worth_it = target >= self.demand.mean_cost() && unspent < target / 2.0;
+        let prefetch = if is_worth_it { target - unspent } else { 0.0 };
+        let due = self.pending.iter_mut().filter(|pending| {
+            let requested_at = pending.requested_at;
+            requested_at.is_none_or(|requested_at| now.since(requested_at) >= RETRY_INTERVAL)
         });
-        let needs = due.map(|waiting| {
-            waiting.asked = Some(now);
-            waiting.cost
+        let costs = due.map(|pending| {
+            pending.requested_at = Some(now);
+            pending.cost
         });
-        let ask = Ask {
+        let request = GrantRequest {
             organisation: Arc::clone(name),
-            needs: needs.collect(),
-            extra: extra as u32,
+            costs: costs.collect(),
+            prefetch: prefetch as u32,
         };
-        let is_empty = ask.needs.is_empty() && ask.extra == 0;
-        (!is_empty).then_some(ask)
+        let is_empty = request.costs.is_empty() && request.prefetch == 0;
+        (!is_empty).then_some(request)
     }
 
-    /// Takes in what was granted, and settles what waits.
-    fn granted(&mut self, asked: Moment, grant: &Grant, now: Moment) {
-        self.units.lapse(now);
-        self.units.add(f64::from(grant.units), now);
+    /// Adds the granted units, and decides the pending requests.
+    fn apply_grant(&mut self, requested_at: Moment, grant: &Grant, now: Moment) {
+        self.unspent.expire(now);
+        self.unspent.add(f64::from(grant.units), now);
         let over = Duration::from_millis(grant.wait_ms.into());
-        let (units, settled) = (&mut self.units, &mut self.settled);
-        self.waiting.retain(|waiting| {
-            let claim = if units.take(f64::from(waiting.cost)) {
-                Claim::Granted
-            } else if waiting.asked == Some(asked) && grant.wait_ms > 0 {
-                Claim::Over(over)
+        let (unspent, decided) = (&mut self.unspent, &mut self.decided);
+        self.pending.retain(|pending| {
+            let decision = if unspent.take(f64::from(pending.cost)) {
+                Decision::Granted
+            } else if pending.requested_at == Some(requested_at) && grant.wait_ms > 0 {
+                Decision::OverQuota(over)
             } else {
                 return true;
             };
-            let cost = waiting.cost;
-            settled.insert(
-                waiting.ticket,
-                Settled {
+            let cost = pending.cost;
+            decided.insert(
+                pending.ticket,
+                DecidedRequest {
                     cost,
-                    claim,
+                    decision,
                     at: now,
                 },
             );
@@ -490,7 +531,7 @@
     }
 
     fn is_idle(&self, now: Moment) -> bool {
-        let is_old = now.since(self.used) > IDLE;
-        is_old && self.waiting.is_empty() && self.settled.is_empty()
+        let is_old = now.since(self.last_used) > IDLE_ACCOUNT_TTL;
+        is_old && self.pending.is_empty() && self.decided.is_empty()
     }
 }
--- a/crates/ploverwick_quota/src/lib.rs
+++ b/crates/ploverwick_quota/src/lib.rs
@@ -1,82 +1,86 @@
-//! How instances keep an organisation's quota together.
+//! Distributed enforcement of per-organisation quotas.
 //!
-//! Each instance owns an even part of every quota and leases it ([`Lease`]) to one instance that pools the
-//! parts ([`Pool`]) and grants units of them to whoever has requests ([`Allocation`]). An
-//! organisation that one instance alone sees has the whole quota there, and one that all see has it wherever
-//! its requests come. A part is lent to one pool at a time, and its owner takes it back only after the time
-//! for which it was lent. So any instance may pool, two may do so at once while they do not hear each other,
-//! and the parts never add up to more than the quota: no right to pool has to be agreed on.
+//! Each instance owns an equal share of every quota and leases it ([`Lease`]) to one instance, which pools the
+//! shares ([`Pool`]) and grants units from them to the instances that have requests ([`Allocation`]). An
+//! organisation can therefore use its whole quota whether its requests arrive at one instance or at all of them.
 //!
-//! Pure state: callers pass the time in and carry the messages.
+//! A share is leased to one pool at a time, and its owner reclaims it only when the lease has expired or the pool
+//! has confirmed the return. The shares in use thus never add up to more than the quota. Any instance may act as a
+//! pool, even several at once during a network partition, and no leader election is needed.
+//!
+//! This crate holds state only: callers pass in the time and transport the messages.
 
 mod allocation;
 mod demand;
-mod hint;
-mod lots;
 mod pool;
-mod slots;
+mod retry_after;
+mod sliding_window;
+mod unspent;
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-pub use allocation::{Allocation, Claim, Take, Ticket};
+pub use allocation::{Admission, Allocation, Decision, Ticket};
 pub use pool::Pool;
 
-/// The time between two messages of an instance by which it lends its parts, where few instances share. A
-/// shorter one costs messages, a longer one leaves the parts of an instance that dies unused for longer.
-const SHORTEST_PERIOD: Duration = Duration::from_millis(150);
-/// The same for each instance that shares, so that a pool hears 500 a second at most, whatever their number.
-const PERIOD_EACH: Duration = Duration::from_millis(2);
-/// The longest period: requests wait for about two of them when a pool ends.
-const LONGEST_PERIOD: Duration = Duration::from_millis(700);
+/// The interval at which an instance renews its lease when there are few instances. A shorter interval costs
+/// messages; a longer one leaves the shares of an instance that dies unused for longer.
+const MIN_LEASE_INTERVAL: Duration = Duration::from_millis(150);
+/// How much each instance adds to the interval, so that a pool receives at most 500 leases a second until
+/// [`MAX_LEASE_INTERVAL`] is reached.
+const LEASE_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(2);
+/// The longest interval. When a pool fails, requests wait for about two intervals.
+const MAX_LEASE_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long demand is covered by what is granted ahead: it bridges most of the time in which a pool that ended
-/// is noticed, and spares most requests of a large organisation a question.
-const AHEAD: Duration = Duration::from_millis(250);
+/// How much future demand is granted in advance. It covers most of the time until a pool failure is detected, and
+/// spares most requests of a large organisation a round trip to the pool.
+const PREFETCH_HORIZON: Duration = Duration::from_millis(250);
 
-/// Returns the time between two messages by which an instance lends its parts.
-pub fn period(sharers: usize) -> Duration {
-    let sharers = u32::try_from(sharers).unwrap_or(u32::MAX);
-    let even = PERIOD_EACH.checked_mul(sharers).unwrap_or(LONGEST_PERIOD);
-    even.clamp(SHORTEST_PERIOD, LONGEST_PERIOD)
+/// Returns the interval at which an instance renews its lease.
+pub fn lease_interval(instance_count: usize) -> Duration {
+    let instance_count = u32::try_from(instance_count).unwrap_or(u32::MAX);
+    let even = LEASE_INTERVAL_PER_INSTANCE
+        .checked_mul(instance_count)
+        .unwrap_or(MAX_LEASE_INTERVAL);
+    even.clamp(MIN_LEASE_INTERVAL, MAX_LEASE_INTERVAL)
 }
 
-/// Returns for how long a part is leased at a time: until the next but one message, so that one may be lost.
-fn lent(period: Duration) -> Duration {
-    period * 2 + period / 3
+/// Returns the duration of a lease. It extends past the second renewal, so that one message may be lost.
+fn lease_duration(lease_interval: Duration) -> Duration {
+    lease_interval * 2 + lease_interval / 3
 }
 
-/// What an instance asks of a pool for one organisation, in units of its quota.
+/// A request to a pool for units of one organisation's quota.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The organisation.
     pub organisation: Arc<str>,
-    /// What each request that waits counts as.
-    pub needs: Vec<u32>,
-    /// What the next requests are expected to need.
-    pub extra: u32,
+    /// The cost of each pending request.
+    pub costs: Vec<u32>,
+    /// The units that upcoming requests are expected to need.
+    pub prefetch: u32,
 }
 
-/// What an instance tells a pool.
+/// A message to a pool that leases the sender's share of all quotas and requests units.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The instances that share, as the sender knows: it lends one part of so many.
-    pub sharers: u32,
-    /// For how long it lends them from now on; 0 takes them back.
+    /// The number of instances known to the sender; its share is one divided by this number.
+    pub instance_count: u32,
+    /// The duration of the lease from its arrival; 0 ends it.
     pub lease_ms: u32,
-    /// What it asks for.
-    pub asks: Vec<Ask>,
+    /// The units that the sender requests, by organisation.
+    pub grant_requests: Vec<GrantRequest>,
 }
 
-/// What a pool grants for one organisation.
+/// A pool's response to a [`GrantRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The organisation.
     pub organisation: Arc<str>,
-    /// The units that may be used.
+    /// The units granted.
     pub units: u32,
-    /// When there will be room for what was not granted; 0 if all requests were.
+    /// The time until the refused requests fit within the quota; 0 if none was refused.
     pub wait_ms: u32,
 }
--- a/crates/ploverwick_quota/src/pool.rs
+++ b/crates/ploverwick_quota/src/pool.rs
@@ -1,4 +1,4 @@
-//! The parts that instances lent to this one, and what it grants from them.
+//! The quota shares that are leased to this instance, and the units it grants from them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -8,161 +8,168 @@
 use ploverwick_names::Moment;
 use ploverwick_routes::Quota;
 
-use crate::hint;
-use crate::slots::{self, Slots};
-use crate::{AHEAD, Ask, Grant, Lease};
+use crate::retry_after;
+use crate::sliding_window::{self, SlidingWindow};
+use crate::{Grant, GrantRequest, Lease, PREFETCH_HORIZON};
 
-/// The part of what a window may hold that must be free for more to be granted than waiting requests need.
-/// Below it an organisation nears its quota, and what lies unused at one instance is missing at another. Nor
-/// is more granted than keeps the pace of the quota: what is used later than it was granted counts in a
-/// later window.
-const PLENTY: f64 = 0.25;
-/// The part of a quota that is granted. The rest covers what is used later than it was granted, in a window
-/// that holds more then: at an instance that stood still, or from what was granted ahead.
-const GRANTED: f64 = 0.96;
-/// The time over which the pace is kept.
-const SECOND: Duration = Duration::from_secs(1);
-/// How many times faster than it lasts a quota may be used: a crowd of one organisation would use up a window's
-/// worth within a second or two, in which the others wait behind it at endpoints, and be refused for the rest.
-const FASTEST: f64 = 2.0;
-/// How many seconds of its lasting pace a quota may be used ahead of [`STEADY`] of that pace. A pool that ends
-/// leaves as much behind that the next one knows nothing of.
-const LEAD_S: f64 = 1.2;
-/// The part of the lasting pace against which a lead is counted.
-const STEADY: f64 = 0.93;
-/// The part of a window from which on all of it counts as lent.
-const FILLED: f64 = 0.98;
-/// The part of a quota from which on a pool lets a request pass that is larger than a window may hold. Many
-/// small pools would each let one pass.
-const LARGE: f64 = 0.5;
-/// The seconds of its rate for which an organisation's refused requests count as coming back: most clients
-/// wait no longer.
-const COME_BACK_S: f64 = 3.0;
+/// The fraction of a window's limit that must stay free when units are granted in advance. With less headroom the
+/// organisation is close to its quota, and units unused at one instance are missing at another.
+///
+/// Grants in advance are also limited to the sustained rate, because units that are used later than they were
+/// granted count in a later window.
+const PREFETCH_HEADROOM: f64 = 0.25;
+/// The fraction of a quota that is granted. The rest covers units that are used later than they were granted, by
+/// an instance that was paused or because they were granted in advance, and so add to a later window.
+const GRANTABLE_FRACTION: f64 = 0.96;
+/// The time over which [`MAX_PACE_FACTOR`] is enforced.
+const PACING_WINDOW: Duration = Duration::from_secs(1);
+/// How many times the sustained rate may be granted. Without this limit a burst of one organisation would use up
+/// a whole window within a second or two, delay the other organisations at the endpoints, and then be refused for
+/// the rest of the window.
+const MAX_PACE_FACTOR: f64 = 2.0;
+/// How far grants may run ahead of [`LEAD_RATE_FRACTION`] of the sustained rate, in seconds at the sustained rate.
+/// When a pool fails, the next one does not know of grants up to this amount.
+const MAX_LEAD_SECS: f64 = 1.2;
+/// The fraction of the sustained rate against which the lead is measured.
+const LEAD_RATE_FRACTION: f64 = 0.93;
+/// The fraction of a window for which the shares must have been leased for the window to count as full.
+const FULL_WINDOW_FRACTION: f64 = 0.98;
+/// The share of a quota from which a pool admits a request that is larger than a whole window. Otherwise, many
+/// small pools would each admit one.
+const MIN_SHARE_FOR_OVERSIZED: f64 = 0.5;
+/// The limit of the refused units that are expected to be retried, in seconds at the organisation's rate. Most
+/// clients wait no longer.
+const MAX_REFUSED_SECS: f64 = 3.0;
 
 #[derive(Debug, Clone, Copy)]
 struct Lender {
-    part: f64,
+    share: f64,
     until: Moment,
 }
 
-/// What was granted to one organisation.
+/// The units granted to and refused for one organisation.
 #[derive(Debug, Default)]
 struct Account {
-    granted: Slots,
-    /// The units that were refused, less what there was room for since.
+    granted: SlidingWindow,
+    /// The refused units as of `refused_at`, less those for which there was room since they were refused.
     refused: f64,
     refused_at: Moment,
 }
 
-/// The parts that instances lent.
+/// Pools the shares that instances lease to this one, and grants units from them.
+///
+/// In any window of time a pool grants no more than the share of the quota that was leased to it over that
+/// window. That alone is not enough if pools fail. After a quiet time a pool could grant a whole window's worth
+/// within half a window and fail, and the next window would hold those units and the grants of its successors.
 ///
-/// In any window of time a pool grants no more than the part of the quota that was lent to it over that
-/// window. That alone does not add up over pools that end: the time before a crowd would let one grant a
-/// window's worth within half a window, and the window after its end would hold that and what the next
-/// pools grant. So in any time up to its end a pool grants no more than [`LEAD_S`] seconds' worth beyond
-/// the lasting pace, and a new one, to which nothing was lent yet, no more than that pace. Then windows over any series
-/// of pools hold about a ninth more than the quota at most, and pools need to know nothing of each other.
+/// Two further limits prevent this. Over any time, a pool grants no more than [`MAX_LEAD_SECS`] seconds' worth
+/// beyond the sustained rate. A new pool, which has no past leases to draw on, grants no more than the sustained
+/// rate. With these limits a window over any sequence of pools exceeds the quota by at most about a ninth, and
+/// pools need not know of each other.
 #[derive(Debug)]
 pub struct Pool {
     window: Duration,
     lenders: BTreeMap<IpAddr, Lender>,
-    /// Seconds for which whole quotas were lent: a quota of which half is lent for two seconds counts one.
-    lent: Slots,
+    /// Leased share times seconds: half of a quota leased for two seconds counts as one.
+    leased: SlidingWindow,
     at: Moment,
     accounts: HashMap<Arc<str>, Account>,
 }
 
 impl Pool {
-    /// Makes a pool of quotas that hold over any `window` of time.
+    /// Creates a pool that enforces quotas over any `window` of time.
     pub fn new(window: Duration) -> Self {
         Self {
             window,
             lenders: BTreeMap::new(),
-            lent: Slots::default(),
+            leased: SlidingWindow::default(),
             at: Moment(0),
             accounts: HashMap::new(),
         }
     }
 
-    /// Takes in what `from` lends, and returns whether it lends anything.
-    pub fn lend(&mut self, from: IpAddr, lease: &Lease, now: Moment) -> bool {
-        self.advance(now);
+    /// Applies a lease of `from`, and returns whether it leases anything.
+    pub fn apply_lease(&mut self, from: IpAddr, lease: &Lease, now: Moment) -> bool {
+        self.advance_to(now);
         if lease.lease_ms == 0 {
             self.lenders.remove(&from);
             return false;
         }
         let lender = Lender {
-            part: 1.0 / f64::from(lease.sharers.max(1)),
+            share: 1.0 / f64::from(lease.instance_count.max(1)),
             until: now + Duration::from_millis(lease.lease_ms.into()),
         };
         self.lenders.insert(from, lender);
         true
     }
 
-    /// Returns the part of all quotas that is lent.
+    /// Returns the share of all quotas that is leased to this pool.
     pub fn share(&self) -> f64 {
-        let parts = self.lenders.values().map(|lender| lender.part);
-        parts.sum::<f64>().min(1.0)
+        let shares = self.lenders.values().map(|lender| lender.share);
+        shares.sum::<f64>().min(1.0)
     }
 
-    /// Returns how many instances lend.
+    /// Returns the number of instances that lease their share to this pool.
     pub fn lenders(&self) -> usize {
         self.lenders.len()
     }
 
-    /// Grants what there is room for.
-    pub fn ask(&mut self, ask: &Ask, quota: &Quota, now: Moment) -> Grant {
-        self.advance(now);
+    /// Grants the requested units as far as the limits allow.
+    pub fn grant(&mut self, request: &GrantRequest, quota: &Quota, now: Moment) -> Grant {
+        self.advance_to(now);
         let limits = self.limits(quota, now);
-        let name = Arc::clone(&ask.organisation);
+        let name = Arc::clone(&request.organisation);
         let account = self.accounts.entry(name).or_default();
         let mut usage = Usage::of(account, &limits, now);
-        let mut missing: Option<Missing> = None;
-        for need in &ask.needs {
-            let need = f64::from(*need);
-            if usage.allows(need, &limits) {
-                usage.grant(need);
+        let mut shortfall: Option<Shortfall> = None;
+        for cost in &request.costs {
+            let cost = f64::from(*cost);
+            if usage.allows(cost, &limits) {
+                usage.grant(cost);
             } else {
-                let short = usage.missing(need, &limits);
-                missing = Some(missing.map_or(short, |known| known.max(short)));
-                account.refuse(need, limits.rate, now);
+                let request_shortfall = usage.shortfall(cost, &limits);
+                shortfall =
+                    Some(shortfall.map_or(request_shortfall, |known| known.max(request_shortfall)));
+                account.record_refusal(cost, limits.rate, now);
             }
         }
-        // Requests that were refused come first: one that needs an empty window would else never find it.
-        let ahead = if account.refused_now(limits.rate, now) > 0.0 {
+        // Retries of refused requests take precedence over grants in advance. Otherwise a request that needs an
+        // empty window would never find one.
+        let prefetch = if account.decayed_refused(limits.rate, now) > 0.0 {
             0.0
         } else {
-            f64::from(ask.extra).min(usage.room_ahead(&limits))
+            f64::from(request.prefetch).min(usage.prefetch_room(&limits))
         };
-        usage.grant(ahead.max(0.0).floor());
+        usage.grant(prefetch.max(0.0).floor());
         account.granted.add(usage.granted, now);
-        let wait = missing.map(|missing| account.room_in(missing, &limits, now));
+        let wait = shortfall.map(|shortfall| account.retry_after(shortfall, &limits, now));
         let wait_ms = wait.unwrap_or_default().as_millis();
         Grant {
-            organisation: Arc::clone(&ask.organisation),
+            organisation: Arc::clone(&request.organisation),
             units: usage.granted as u32,
             wait_ms: u32::try_from(wait_ms).unwrap_or(u32::MAX),
         }
     }
 
-    /// Works out what the parts that are lent allow of a quota.
+    /// Computes the limits that the leased shares set for a quota.
     fn limits(&mut self, quota: &Quota, now: Moment) -> Limits {
         let share = self.share();
         let window_s = self.window.as_secs_f64();
-        // A burst may be used once in each window, so that this is what may be used a second over time.
+        // The burst may be used once per window, so this is the sustained rate per second.
         let whole = quota.rate + quota.burst / window_s;
-        let lent = self.lent.sum(self.window, now);
+        let leased = self.leased.sum(self.window, now);
         Limits {
-            span: self.window,
-            window: whole * lent * GRANTED,
+            window_len: self.window,
+            window: whole * leased * GRANTABLE_FRACTION,
             rate: whole * share,
-            is_filling: lent < share * window_s * FILLED,
-            large: (share >= LARGE && whole > 0.0).then_some(whole * window_s),
+            is_filling: leased < share * window_s * FULL_WINDOW_FRACTION,
+            oversized: (share >= MIN_SHARE_FOR_OVERSIZED && whole > 0.0)
+                .then_some(whole * window_s),
         }
     }
 
-    /// Counts the time up to `now`, each part for as long as it is lent.
-    fn advance(&mut self, now: Moment) {
+    /// Accumulates the leased shares up to `now`, and removes the leases that have expired.
+    fn advance_to(&mut self, now: Moment) {
         loop {
             let ended = self
                 .lenders
@@ -170,121 +177,124 @@
                 .filter(|(_, lender)| lender.until <= now);
             let first = ended.min_by_key(|(_, lender)| lender.until);
             let Some((ip, until)) = first.map(|(ip, lender)| (*ip, lender.until)) else {
-                return self.count(now);
+                return self.accumulate(now);
             };
-            self.count(until);
+            self.accumulate(until);
             self.lenders.remove(&ip);
         }
     }
 
-    fn count(&mut self, until: Moment) {
+    fn accumulate(&mut self, until: Moment) {
         let share = self.share();
-        self.lent.forget(self.window, until);
-        // A long pause is counted slot by slot, as it counts in the windows.
+        self.leased.evict(self.window, until);
+        // A long pause is split by slot, so that each part of it leaves the window at its own time.
         while self.at < until {
-            let next = Slots::end(self.at).min(until);
+            let next = SlidingWindow::end(self.at).min(until);
             let seconds = next.since(self.at).as_secs_f64();
-            self.lent.add(share * seconds, self.at);
+            self.leased.add(share * seconds, self.at);
             self.at = next;
         }
     }
 }
 
-/// What the parts that are lent allow of one quota.
+/// The limits that the leased shares set for one quota.
 #[derive(Debug, Clone, Copy)]
 struct Limits {
     /// The length of the window.
-    span: Duration,
-    /// The units that the window may hold that ends now.
+    window_len: Duration,
+    /// The maximum units in the window that ends now.
     window: f64,
-    /// The units a second that last.
+    /// The sustained rate in units per second.
     rate: f64,
-    /// Whether parts were lent for less than a window, so that it may hold more each moment.
+    /// Whether the shares have been leased for less than a window, so that the window's limit still grows.
     is_filling: bool,
-    /// The units above which a request is too large for any window, where one may pass all the same.
-    large: Option<f64>,
+    /// The cost above which a request fits no window and is admitted if the window is empty; `None` if this pool
+    /// must not admit such requests.
+    oversized: Option<f64>,
 }
 
 impl Limits {
-    /// Returns the units that may be used ahead of the pace.
-    fn lead(&self) -> f64 {
-        self.rate * LEAD_S
+    /// Returns the units that may be granted ahead of the sustained rate.
+    fn max_lead(&self) -> f64 {
+        self.rate * MAX_LEAD_SECS
     }
 
-    /// Returns what a request counts as against that. One that is larger than half of it would wait for ever
-    /// behind the small ones of its organisation.
-    fn led(&self, need: f64) -> f64 {
-        need.min(self.lead() / 2.0)
+    /// Returns the cost of a request against [`Self::max_lead`]. It is capped at half of that, since a larger
+    /// request would otherwise starve behind the small ones of its organisation.
+    fn lead_cost(&self, cost: f64) -> f64 {
+        cost.min(self.max_lead() / 2.0)
     }
 }
 
-/// What one organisation has used, with what is being granted.
+/// The units granted to one organisation, including those of the grant in progress.
 #[derive(Debug, Clone, Copy)]
 struct Usage {
-    /// In the window.
+    /// The units in the window.
     window: f64,
-    /// In the last second.
+    /// The units within [`PACING_WINDOW`].
     second: f64,
-    /// In the time for which more is granted ahead.
-    lately: f64,
-    /// Beyond the pace, in the time in which that is most.
+    /// The units within [`PREFETCH_HORIZON`].
+    recent: f64,
+    /// The units ahead of [`LEAD_RATE_FRACTION`] of the sustained rate, over the time in which that is largest.
     lead: f64,
-    /// What is being granted.
+    /// The units of the grant in progress.
     granted: f64,
 }
 
 impl Usage {
     fn of(account: &mut Account, limits: &Limits, now: Moment) -> Self {
         Self {
-            window: account.granted.sum(limits.span, now),
-            second: account.granted.sum_of_last(SECOND, now),
-            lately: account.granted.sum_of_last(AHEAD, now),
-            lead: account.granted.excess(limits.rate * STEADY, now),
+            window: account.granted.sum(limits.window_len, now),
+            second: account.granted.sum_of_last(PACING_WINDOW, now),
+            recent: account.granted.sum_of_last(PREFETCH_HORIZON, now),
+            lead: account
+                .granted
+                .excess(limits.rate * LEAD_RATE_FRACTION, now),
             granted: 0.0,
         }
     }
 
-    fn allows(&self, need: f64, limits: &Limits) -> bool {
-        let is_large = limits.large.is_some_and(|large| need > large);
-        let has_room = self.window + need <= limits.window || is_large && self.window <= 0.0;
-        let is_paced = self.second + need <= limits.rate * FASTEST || self.second <= 0.0;
-        has_room && is_paced && self.lead + limits.led(need) <= limits.lead()
+    fn allows(&self, cost: f64, limits: &Limits) -> bool {
+        let is_oversized = limits.oversized.is_some_and(|oversized| cost > oversized);
+        let has_room = self.window + cost <= limits.window || is_oversized && self.window <= 0.0;
+        let is_paced = self.second + cost <= limits.rate * MAX_PACE_FACTOR || self.second <= 0.0;
+        has_room && is_paced && self.lead + limits.lead_cost(cost) <= limits.max_lead()
     }
 
-    fn missing(&self, need: f64, limits: &Limits) -> Missing {
-        Missing {
-            window: self.window + need - limits.window,
-            second: self.second + need - limits.rate * FASTEST,
-            lead: self.lead + limits.led(need) - limits.lead(),
+    fn shortfall(&self, cost: f64, limits: &Limits) -> Shortfall {
+        Shortfall {
+            window: self.window + cost - limits.window,
+            second: self.second + cost - limits.rate * MAX_PACE_FACTOR,
+            lead: self.lead + limits.lead_cost(cost) - limits.max_lead(),
         }
     }
 
     fn grant(&mut self, units: f64) {
         self.window += units;
         self.second += units;
-        self.lately += units;
+        self.recent += units;
         self.lead += units;
         self.granted += units;
     }
 
-    /// Returns how much may be granted beyond what requests need now.
-    fn room_ahead(&self, limits: &Limits) -> f64 {
-        let room = limits.window * (1.0 - PLENTY) - self.window;
-        let pace = limits.rate * AHEAD.as_secs_f64() - self.lately;
-        let lead = limits.lead() - limits.led(f64::MAX) - self.lead;
+    /// Returns the units that may be granted in advance.
+    fn prefetch_room(&self, limits: &Limits) -> f64 {
+        let room = limits.window * (1.0 - PREFETCH_HEADROOM) - self.window;
+        let pace = limits.rate * PREFETCH_HORIZON.as_secs_f64() - self.recent;
+        let lead = limits.max_lead() - limits.lead_cost(f64::MAX) - self.lead;
         room.min(pace).min(lead)
     }
 }
 
-/// The units that have to go before a refused request has room; not above 0 where it has.
+/// The units by which a refused request exceeds each limit; zero or negative where it is within the limit.
 #[derive(Debug, Clone, Copy)]
-struct Missing {
+struct Shortfall {
     window: f64,
     second: f64,
     lead: f64,
 }
 
-impl Missing {
+impl Shortfall {
     fn max(self, other: Self) -> Self {
         Self {
             window: self.window.max(other.window),
@@ -295,31 +305,38 @@
 }
 
 impl Account {
-    /// Returns when there is room for what was refused, behind what was refused before.
-    fn room_in(&self, missing: Missing, limits: &Limits, now: Moment) -> Duration {
-        if missing.window <= 0.0 {
-            let second = self.granted.until_gone(missing.second, SECOND, now);
-            let lead = Duration::try_from_secs_f64(missing.lead.max(0.0) / (limits.rate * STEADY));
-            // A lead is counted by slots, and so gone up to one later.
-            let lead = lead.unwrap_or(Duration::MAX).saturating_add(slots::SLOT);
-            second.max(hint::of(lead))
+    /// Returns the time until a refused request fits, after those that were refused before it.
+    fn retry_after(&self, shortfall: Shortfall, limits: &Limits, now: Moment) -> Duration {
+        if shortfall.window <= 0.0 {
+            let second = self
+                .granted
+                .time_until_freed(shortfall.second, PACING_WINDOW, now);
+            let lead = Duration::try_from_secs_f64(
+                shortfall.lead.max(0.0) / (limits.rate * LEAD_RATE_FRACTION),
+            );
+            // The lead is measured in whole slots, so it may take up to one slot longer to be made up.
+            let lead = lead
+                .unwrap_or(Duration::MAX)
+                .saturating_add(sliding_window::SLOT_DURATION);
+            second.max(retry_after::clamp(lead))
         } else if limits.is_filling {
-            hint::of_seconds((missing.window + self.refused) / limits.rate)
+            retry_after::from_secs_f64((shortfall.window + self.refused) / limits.rate)
         } else {
-            let missing = missing.window + self.refused;
-            self.granted.until_gone(missing, limits.span, now)
+            let shortfall = shortfall.window + self.refused;
+            self.granted
+                .time_until_freed(shortfall, limits.window_len, now)
         }
     }
 
-    /// Returns the units that were refused, less what there was room for since.
-    fn refused_now(&self, rate: f64, now: Moment) -> f64 {
+    /// Returns the refused units, less those for which there was room since.
+    fn decayed_refused(&self, rate: f64, now: Moment) -> f64 {
         let since = now.since(self.refused_at).as_secs_f64();
         (self.refused - since * rate).max(0.0)
     }
 
-    fn refuse(&mut self, need: f64, rate: f64, now: Moment) {
-        let left = self.refused_now(rate, now);
-        self.refused = (left + need).min(rate * COME_BACK_S);
+    fn record_refusal(&mut self, cost: f64, rate: f64, now: Moment) {
+        let left = self.decayed_refused(rate, now);
+        self.refused = (left + cost).min(rate * MAX_REFUSED_SECS);
         self.refused_at = now;
     }
 }
--- a/crates/ploverwick_quota/src/lots.rs
+++ b/crates/ploverwick_quota/src/unspent.rs
@@ -1,22 +1,23 @@
-//! Units that were granted and not used, by the time of their grant.
+//! Granted units that have not been used yet.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use ploverwick_names::Moment;
 
-/// How long what was granted may be used: the pool counts it in the window in which it granted it.
-const KEPT: Duration = Duration::from_secs(1);
+/// How long units may be used after their grant. The pool counts them in the window of the grant, so later use
+/// would add to a later window.
+const UNIT_TTL: Duration = Duration::from_secs(1);
 
-/// Units, the oldest first.
+/// Unspent units, oldest grant first.
 #[derive(Debug, Default)]
-pub(crate) struct Lots {
+pub(crate) struct UnspentUnits {
     lots: VecDeque<(Moment, f64)>,
     sum: f64,
 }
 
-impl Lots {
-    /// Adds units that were granted at a moment; they may come back long after.
+impl UnspentUnits {
+    /// Adds units that were granted at `granted`, which may be long ago when they are refunded.
     pub(crate) fn add(&mut self, units: f64, granted: Moment) {
         if units <= 0.0 {
             return;
@@ -26,9 +27,9 @@
         self.sum += units;
     }
 
-    /// Drops what was granted long ago.
-    pub(crate) fn lapse(&mut self, now: Moment) {
-        while let Some((_, units)) = self.lots.pop_front_if(|(at, _)| now.since(*at) > KEPT) {
+    /// Drops the units granted more than [`UNIT_TTL`] ago.
+    pub(crate) fn expire(&mut self, now: Moment) {
+        while let Some((_, units)) = self.lots.pop_front_if(|(at, _)| now.since(*at) > UNIT_TTL) {
             self.sum -= units;
         }
         if self.lots.is_empty() {
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Returns how many there are.
+    /// Returns the number of units.
     pub(crate) fn sum(&self) -> f64 {
         self.sum
     }
 
-    /// Takes units, the oldest first; `false` if there are not as many.
+    /// Takes units, oldest first. Returns `false` and takes none if there are too few.
     pub(crate) fn take(&mut self, units: f64) -> bool {
         if self.sum < units {
             return false;
--- a/crates/ploverwick_quota/tests/fleet/mod.rs
+++ b/crates/ploverwick_quota/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Moment;
-use ploverwick_quota::{Allocation, Claim, Grant, Lease, Pool, Take, Ticket};
+use ploverwick_quota::{Admission, Allocation, Decision, Grant, Lease, Pool, Ticket};
 use ploverwick_routes::{Quota, Unit};
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
@@ -306,11 +306,11 @@
         let Caller { name, quota, .. } = self.callers[caller].clone();
         match self.instances[index]
             .allocation
-            .take(&name, &quota, cost, now)
+            .acquire(&name, &quota, cost, now)
         {
-            Take::Granted => self.grant(caller, cost),
-            Take::Over(_) => self.refuse(cost, is_owed),
-            Take::Waits(ticket) => {
+            Admission::Granted => self.grant(caller, cost),
+            Admission::OverQuota(_) => self.refuse(cost, is_owed),
+            Admission::Pending(ticket) => {
                 let until = self.now + PATIENCE;
                 let waiting = (caller, ticket, cost, until, is_owed);
                 self.instances[index].waiting.push(waiting);
@@ -360,7 +360,7 @@
         if is_urgent || instance.allocation.due() <= now {
             instance.last_told = self.now;
             let life = instance.life;
-            for (to, lease) in instance.allocation.tell(&pools, size, now) {
+            for (to, lease) in instance.allocation.prepare_leases(&pools, size, now) {
                 let mail = Mail::Lease {
                     from: index,
                     life,
@@ -378,14 +378,14 @@
         for (caller, ticket, cost, until, is_owed) in waiting {
             let name = Arc::clone(&self.callers[caller].name);
             let allocation = &mut self.instances[index].allocation;
-            match allocation.claim(&name, ticket) {
-                Claim::Granted => self.grant(caller, cost),
-                Claim::Over(_) => self.refuse(cost, is_owed),
-                Claim::Waits if until <= self.now => {
-                    allocation.leave(&name, ticket);
+            match allocation.poll(&name, ticket) {
+                Decision::Granted => self.grant(caller, cost),
+                Decision::OverQuota(_) => self.refuse(cost, is_owed),
+                Decision::Pending if until <= self.now => {
+                    allocation.cancel(&name, ticket);
                     self.refuse(cost, is_owed);
                 }
-                Claim::Waits => {
+                Decision::Pending => {
                     let waiting = (caller, ticket, cost, until, is_owed);
                     self.instances[index].waiting.push(waiting);
                 }
@@ -400,9 +400,9 @@
             self.seen.bytes += match &mail {
                 Mail::Lease { lease, .. } => {
                     20 + lease
-                        .asks
+                        .grant_requests
                         .iter()
-                        .map(|a| 14 + a.needs.len() as u64 * 2)
+                        .map(|a| 14 + a.costs.len() as u64 * 2)
                         .sum::<u64>()
                 }
                 Mail::Grant { grants, .. } => 20 + grants.len() as u64 * 14,
@@ -466,13 +466,13 @@
                 lease,
             } => {
                 let pool = &mut self.instances[to].pool;
-                pool.lend(ip(from), &lease, now);
+                pool.apply_lease(ip(from), &lease, now);
                 let quotas: HashMap<_, _> =
                     self.callers.iter().map(|c| (&c.name, c.quota)).collect();
                 let grants = lease
-                    .asks
+                    .grant_requests
                     .iter()
-                    .map(|ask| pool.ask(ask, &quotas[&ask.organisation], now));
+                    .map(|ask| pool.grant(ask, &quotas[&ask.organisation], now));
                 let grants = grants.collect();
                 if self.instances[from].life == life {
                     let mail = Mail::Grant {
@@ -490,7 +490,7 @@
             } => {
                 self.instances[to]
                     .allocation
-                    .answered(ip(from), asked, &grants, now);
+                    .handle_grants(ip(from), asked, &grants, now);
                 self.settle(to);
             }
         }
--- a/crates/ploverwick_quota/tests/lost_pool.rs
+++ b/crates/ploverwick_quota/tests/lost_pool.rs
@@ -13,7 +13,7 @@
 use fleet::{Caller, Fleet, WINDOW, Way, ip};
 use googletest::prelude::*;
 use ploverwick_names::Moment;
-use ploverwick_quota::{Allocation, Grant, Take};
+use ploverwick_quota::{Admission, Allocation, Grant};
 use ploverwick_routes::{Quota, Unit};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -193,18 +193,18 @@
             units,
             wait_ms: 0,
         };
-        allocation.answered(own, now, &[grant], now);
+        allocation.handle_grants(own, now, &[grant], now);
     };
     // An account is there from its first request on.
-    allocation.take(&name, &quota, 1, Moment(0));
+    allocation.acquire(&name, &quota, 1, Moment(0));
     granted(&mut allocation, 101, Moment(0));
     expect_that!(
-        allocation.take(&name, &quota, 100, Moment(0)),
-        eq(Take::Granted)
+        allocation.acquire(&name, &quota, 100, Moment(0)),
+        eq(Admission::Granted)
     );
     let later = Moment(0) + Duration::from_secs(12);
     granted(&mut allocation, 1, later);
-    allocation.give_back(&name, 100, Moment(0));
-    let taken = allocation.take(&name, &quota, 50, later);
-    expect_that!(taken, not(eq(Take::Granted)));
+    allocation.refund(&name, 100, Moment(0));
+    let taken = allocation.acquire(&name, &quota, 50, later);
+    expect_that!(taken, not(eq(Admission::Granted)));
 }
--- a/crates/ploverwick_quota/tests/wait_hints.rs
+++ b/crates/ploverwick_quota/tests/wait_hints.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use ploverwick_names::Moment;
-use ploverwick_quota::{Ask, Grant, Lease, Pool};
+use ploverwick_quota::{Grant, GrantRequest, Lease, Pool};
 use ploverwick_routes::{Quota, Unit};
 
 const WINDOW: Duration = Duration::from_secs(8);
@@ -20,21 +20,21 @@
 fn pool(leased: Duration) -> (Pool, Moment) {
     let mut pool = Pool::new(WINDOW);
     let lease = Lease {
-        sharers: 1,
+        instance_count: 1,
         lease_ms: 3_600_000,
-        asks: Vec::new(),
+        grant_requests: Vec::new(),
     };
-    pool.lend(IpAddr::V4(Ipv4Addr::LOCALHOST), &lease, Moment(0));
+    pool.apply_lease(IpAddr::V4(Ipv4Addr::LOCALHOST), &lease, Moment(0));
     (pool, Moment(0) + leased)
 }
 
 fn ask(pool: &mut Pool, need: u32, now: Moment) -> Grant {
-    let ask = Ask {
+    let ask = GrantRequest {
         organisation: Arc::from("one"),
-        needs: vec![need],
-        extra: 0,
+        costs: vec![need],
+        prefetch: 0,
     };
-    pool.ask(&ask, &QUOTA, now)
+    pool.grant(&ask, &QUOTA, now)
 }
 
 /// Asks until a request is refused, and again after what the refusal says; returns how long that was.
@@ -92,12 +92,12 @@
 #[gtest]
 fn nothing_stays_nothing() {
     let (mut pool, now) = pool(WINDOW * 2);
-    let one = Ask {
+    let one = GrantRequest {
         organisation: Arc::from("none"),
-        needs: vec![1],
-        extra: 100,
+        costs: vec![1],
+        prefetch: 100,
     };
-    let grant = pool.ask(&one, &Quota::NOTHING, now);
+    let grant = pool.grant(&one, &Quota::NOTHING, now);
     expect_that!(grant.units, eq(0));
     expect_that!(grant.wait_ms, gt(1_000));
 }
