--- a/crates/ploverwick_gateway/src/controllers/crashes.rs
+++ b/crates/ploverwick_gateway/src/controllers/crashes.rs
@@ -41,12 +41,12 @@
     let Some(entry) = entry.filter(|entry| entry.state == State::Ready).cloned() else {
         return;
     };
-    let finding = state.breaks.broke(endpoint, suspect);
+    let finding = state.broken_connections.record(endpoint, suspect);
     drop(state);
     match finding {
         Finding::New => drop(tokio::spawn(settle(Arc::clone(shared), entry))),
         Finding::Crashed(suspect) => quarantine::record_crash(shared, endpoint, &[suspect]),
-        Finding::Pending | Finding::Spared => {}
+        Finding::Pending | Finding::NotCrashed => {}
     }
 }
 
@@ -54,7 +54,10 @@
 async fn settle(shared: Arc<Shared>, entry: Entry) {
     let begun = Instant::now();
     let diagnosis = diagnose(&shared, &entry).await;
-    let suspects = shared.state().breaks.diagnosed(&entry.id, diagnosis);
+    let suspects = shared
+        .state()
+        .broken_connections
+        .resolve(&entry.id, diagnosis);
     metrics::broken(diagnosis, suspects.len());
     spdlog::info!(
         "endpoint_broke endpoint={} service={} diagnosis={} requests={} ms={}",
@@ -68,7 +71,7 @@
         quarantine::record_crash(&shared, &entry.id, &suspects);
     }
     tokio::time::sleep(RETENTION).await;
-    shared.state().breaks.forget(&entry.id);
+    shared.state().broken_connections.remove(&entry.id);
 }
 
 async fn diagnose(shared: &Shared, entry: &Entry) -> Diagnosis {
--- a/crates/ploverwick_gateway/src/controllers/quarantine.rs
+++ b/crates/ploverwick_gateway/src/controllers/quarantine.rs
@@ -74,8 +74,8 @@
     let now = shared.now();
     for entry in entries {
         let mut state = shared.state();
-        let change = state.quarantine.take(entry, now);
-        let is_seen_here = state.quarantine.is_seen_here(&entry.fingerprint);
+        let change = state.quarantine.merge(entry, now);
+        let is_observed_locally = state.quarantine.is_observed_locally(&entry.fingerprint);
         let entry = state.quarantine.entry(&entry.fingerprint, now);
         drop(state);
         match change {
@@ -91,7 +91,7 @@
         );
         count(shared);
         // Those that saw a crash write it down; a repeat changes nothing.
-        if change == Change::Refused && is_seen_here {
+        if change == Change::Refused && is_observed_locally {
             publish(shared, &entry);
         }
     }
@@ -100,7 +100,7 @@
 /// Drops what has lapsed.
 pub(crate) fn sweep(shared: &Shared) {
     let now = shared.now();
-    let lapsed = shared.state().quarantine.sweep(now);
+    let lapsed = shared.state().quarantine.remove_expired(now);
     for fingerprint in &lapsed {
         spdlog::info!("quarantine_lapsed fingerprint={}", fingerprint);
     }
--- a/crates/ploverwick_gateway/src/mail.rs
+++ b/crates/ploverwick_gateway/src/mail.rs
@@ -9,7 +9,7 @@
 use ploverwick_adapters::{Copy, Key, Need};
 use ploverwick_endpoints::{Entry, Told as ToldLimit};
 use ploverwick_names::Moment;
-use ploverwick_quarantine::PARTS;
+use ploverwick_quarantine::DIGEST_BUCKETS;
 use ploverwick_quota::{Grant, Lease};
 use ploverwick_topics::Position;
 use ploverwick_topics::parts::{self, Assembly};
@@ -168,7 +168,10 @@
     EndpointLimits(Vec<ToldLimit>),
     /// Digests of all crashes that the sender counts against requests; whoever has others tells what
     /// differs, and, if it was asked, its own digests.
-    QuarantineDigests { digests: [u64; PARTS], asks: bool },
+    QuarantineDigests {
+        digests: [u64; DIGEST_BUCKETS],
+        asks: bool,
+    },
     /// Endpoints that have reported that they are leaving.
     Draining(Vec<Arc<str>>),
 }
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -12,7 +12,7 @@
 use ploverwick_limits::{Past, Rates};
 use ploverwick_names::Moment;
 use ploverwick_platform::settings::Settings;
-use ploverwick_quarantine::{Breaks, Quarantine};
+use ploverwick_quarantine::{BrokenConnections, Quarantine};
 use ploverwick_quota::{Allocation, Pool};
 use ploverwick_routes::Config;
 use ploverwick_table::Table;
@@ -126,7 +126,7 @@
     /// The parts of quotas that instances lent to this one.
     pub(crate) quota_pool: Pool,
     /// The connections to endpoints that broke under requests lately.
-    pub(crate) breaks: Breaks,
+    pub(crate) broken_connections: BrokenConnections,
     /// The requests that endpoints crashed under.
     pub(crate) quarantine: Quarantine,
 }
@@ -170,7 +170,7 @@
             uses: HashMap::new(),
             allocation: Allocation::new(settings.ip.into(), now),
             quota_pool: Pool::new(settings.quota_window),
-            breaks: Breaks::default(),
+            broken_connections: BrokenConnections::default(),
             quarantine: Quarantine::default(),
         }
     }
--- a/crates/ploverwick_gateway/src/tell/quarantine.rs
+++ b/crates/ploverwick_gateway/src/tell/quarantine.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_quarantine::{Entry, Fingerprint, PARTS};
+use ploverwick_quarantine::{DIGEST_BUCKETS, Entry, Fingerprint};
 
 use super::{hubs, near};
 use crate::mail::Message;
@@ -59,7 +59,7 @@
 
 /// Tells the instance at `ip` the entries that differ from its own, and asks for the reverse if it asked
 /// itself.
-pub(crate) fn compare(shared: &Shared, ip: IpAddr, digests: &[u64; PARTS], asks: bool) {
+pub(crate) fn compare(shared: &Shared, ip: IpAddr, digests: &[u64; DIGEST_BUCKETS], asks: bool) {
     let now = shared.now();
     let state = shared.state();
     let own = state.quarantine.digests();
--- a/crates/ploverwick_quarantine/src/crash.rs
+++ b/crates/ploverwick_quarantine/src/crash.rs
@@ -1,21 +1,22 @@
-//! The unplanned end of an endpoint.
+//! Identifiers of endpoint crashes.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The unplanned end of one life of an endpoint, under the same name at all instances.
+/// Identifies the crash of one run of an endpoint's process, with the same value at all instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Crash(u64);
 
 impl Crash {
-    /// Names the end of a life by the life's identifier.
+    /// Derives the identifier of a crash from `endpoint_id`, which is unique to one run of the endpoint's process.
     ///
-    /// Part of the instances' protocol: XXH3 with 64 bits. No caller chooses an identifier.
-    pub fn of(life: &str) -> Self {
-        Self(xxh3_64(life.as_bytes()))
+    /// The hash, 64-bit XXH3, is part of the protocol between instances. It need not be cryptographic, because
+    /// callers cannot choose endpoint identifiers.
+    pub fn of(endpoint_id: &str) -> Self {
+        Self(xxh3_64(endpoint_id.as_bytes()))
     }
 }
 
--- a/crates/ploverwick_quarantine/src/entry.rs
+++ b/crates/ploverwick_quarantine/src/entry.rs
@@ -1,4 +1,4 @@
-//! What is counted against one request, as instances tell it each other.
+//! The crashes counted against one request, in the form that instances exchange.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 
 use crate::{Crash, Fingerprint};
 
-/// The crashes after which a request is refused. One and two are chance where endpoints crash for
-/// other causes while it runs; a third one beside no success is not (see [`crate::Quarantine`]).
-pub const THRESHOLD: usize = 3;
+/// The number of crashes after which a request is refused. One or two may be coincidence if endpoints crash for
+/// other reasons while it runs; a third without a success in between is not (see [`crate::Quarantine`]).
+pub const CRASH_THRESHOLD: usize = 3;
 
-/// How long crashes are counted against a request that is not refused. A request whose endpoint crashes
-/// for another cause in one of 40 runs, the rate while another request crashes an endpoint each second,
-/// is refused in one of 64,000 rows of three runs without a success.
-const SUSPECTED: Duration = Duration::from_hours(1);
-/// How long a request stays refused after the third crash. Endpoints may have been mended meanwhile; if not,
-/// it crashes three more a day.
-const REFUSED: Duration = Duration::from_hours(24);
+/// How long crashes count against a request that is not refused. While another request crashes an endpoint each
+/// second, 1 in 40 runs ends in a crash for that reason. At that rate 1 in 64,000 sequences of three runs has three
+/// crashes, and an innocent request is refused.
+const SUSPICION_TTL: Duration = Duration::from_hours(1);
+/// How long a request stays refused after the third crash. The endpoints may have been fixed by then; if not, the
+/// request crashes three endpoints a day.
+const REFUSAL_TTL: Duration = Duration::from_hours(24);
 
-/// What is counted against one request.
+/// The crashes counted against one request.
 ///
-/// Entries of one request merge in any order, any number of times, to the same entry: the one with more
-/// resets counts, and of equal ones all crashes do.
+/// Merging entries is commutative, associative and idempotent. The entry with more resets wins; the crashes of
+/// entries with equally many resets are combined.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// How often its crashes were reset.
+    /// How many times its crashes were reset.
     pub resets: u32,
-    /// The crashes under it since the last reset, in ascending order; [`THRESHOLD`] at most.
+    /// The crashes since the last reset, in ascending order; [`CRASH_THRESHOLD`] at most.
     pub crashes: Vec<Crash>,
-    /// How many seconds ago it last changed.
+    /// The time since the last change, in seconds.
     pub age_s: u32,
 }
 
 impl Entry {
-    /// Makes the entry of a request without crashes.
+    /// Creates an entry without crashes.
     pub fn new(fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint,
@@ -46,23 +46,23 @@
         }
     }
 
-    /// Returns whether the request is refused.
+    /// Returns whether there are enough crashes to refuse the request, regardless of their age.
     pub fn is_at_threshold(&self) -> bool {
-        self.crashes.len() >= THRESHOLD
+        self.crashes.len() >= CRASH_THRESHOLD
     }
 
-    /// Returns whether the request is refused, or one more crash would refuse it.
+    /// Returns whether the request is at the threshold, or would be after one more crash.
     pub fn is_near_threshold(&self) -> bool {
-        self.crashes.len() + 1 >= THRESHOLD
+        self.crashes.len() + 1 >= CRASH_THRESHOLD
     }
 
-    /// Returns whether the request is refused, now that the entry is so old.
+    /// Returns whether the request is refused, taking the age of the entry into account.
     pub fn is_refused(&self) -> bool {
         let age = Duration::from_secs(self.age_s.into());
-        self.is_at_threshold() && age < self.lapse()
+        self.is_at_threshold() && age < self.ttl()
     }
 
-    /// Returns the entry after its crashes were reset just now.
+    /// Returns the entry that results from resetting its crashes now.
     #[must_use]
     pub fn after_reset(&self) -> Self {
         Self {
@@ -71,35 +71,35 @@
         }
     }
 
-    /// Returns how long it counts after its last change.
-    pub(crate) fn lapse(&self) -> Duration {
+    /// Returns how long the entry is valid after its last change.
+    pub(crate) fn ttl(&self) -> Duration {
         if self.is_at_threshold() {
-            REFUSED
+            REFUSAL_TTL
         } else {
-            SUSPECTED
+            SUSPICION_TTL
         }
     }
 
-    /// Takes in another entry of the same request; returns whether this one has changed.
+    /// Merges another entry of the same request; returns whether this one has changed.
     pub(crate) fn merge(&mut self, other: &Self) -> bool {
         if other.resets < self.resets {
             return false;
         }
-        let is_later = other.resets > self.resets;
+        let is_newer = other.resets > self.resets;
         let before = self.crashes.clone();
-        if is_later {
+        if is_newer {
             self.resets = other.resets;
             self.crashes.clear();
         }
         self.crashes.extend_from_slice(&other.crashes);
         self.crashes.sort_unstable();
         self.crashes.dedup();
-        // Of more than enough crashes all instances keep the same.
-        self.crashes.truncate(THRESHOLD);
-        is_later || self.crashes != before
+        // All instances keep the same crashes if there are more than needed.
+        self.crashes.truncate(CRASH_THRESHOLD);
+        is_newer || self.crashes != before
     }
 
-    /// Returns a number that differs where the entries do, but for their age.
+    /// Returns a hash of the entry without its age.
     pub(crate) fn digest(&self) -> u64 {
         let crashes: Vec<String> = self.crashes.iter().map(ToString::to_string).collect();
         let crashes = crashes.join(" ");
--- a/crates/ploverwick_quarantine/src/fingerprint.rs
+++ b/crates/ploverwick_quarantine/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Identity of requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,38 +6,38 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The bytes of a fingerprint: enough that nobody finds a request with the fingerprint of another one.
-const LENGTH: usize = 16;
-/// Sets fingerprints apart from other hashes, and those of another form from these.
-const FORM: &[u8] = b"ploverwick request 1";
+/// The length of a fingerprint: enough to make a second preimage infeasible.
+const FINGERPRINT_BYTES: usize = 16;
+/// Separates fingerprints from other hashes, and from fingerprints of other versions of this format.
+const DOMAIN_SEPARATOR: &[u8] = b"ploverwick request 1";
 
-/// What a request asks for, whoever's connection, attempt and instance it comes by.
+/// Identifies a request by its contents, independent of the connection, the attempt and the instance.
 ///
-/// A caller must not be able to have another one's request refused, so that it is a cryptographic hash.
+/// It is a cryptographic hash, so that a caller cannot craft a request that causes another caller's to be refused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Fingerprint([u8; LENGTH]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// Hashes the parts of a request in this order; where one ends and the next begins matters.
+    /// Hashes the parts of a request; their order and the boundaries between them are significant.
     ///
-    /// Part of the instances' protocol: the first 128 bits of SHA-256 over [`FORM`] and the parts, each
-    /// after its length as eight bytes, least first.
+    /// The format is part of the protocol between instances: the first 128 bits of SHA-256 over
+    /// [`DOMAIN_SEPARATOR`] and the parts, each preceded by its length as a 64-bit little-endian integer.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hash = Sha256::new();
-        hash.update(FORM);
+        hash.update(DOMAIN_SEPARATOR);
         for part in parts {
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
-        let mut bytes = [0; LENGTH];
-        bytes.copy_from_slice(&hash.finalize()[..LENGTH]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hash.finalize()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 
-    /// Returns in which of so many equal parts it falls.
-    pub(crate) fn part(self, parts: usize) -> usize {
-        usize::from(self.0[0]) % parts
+    /// Returns which of `count` buckets the fingerprint belongs to.
+    pub(crate) fn bucket(self, count: usize) -> usize {
+        usize::from(self.0[0]) % count
     }
 }
 
@@ -53,32 +53,32 @@
     }
 }
 
-/// A text is not a fingerprint.
+/// The error for a text that is not a fingerprint.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Malformed;
+pub struct InvalidFingerprint;
 
-impl fmt::Display for Malformed {
+impl fmt::Display for InvalidFingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let digits = 2 * LENGTH;
+        let digits = 2 * FINGERPRINT_BYTES;
         write!(f, "a fingerprint is {digits} hexadecimal digits")
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for InvalidFingerprint {}
 
 impl FromStr for Fingerprint {
-    type Err = Malformed;
+    type Err = InvalidFingerprint;
 
-    /// Reads the hexadecimal digits as which a fingerprint is shown.
+    /// Parses the hexadecimal form that [`fmt::Display`] writes.
     ///
     /// # Errors
-    /// Fails if it is anything else.
-    fn from_str(text: &str) -> Result<Self, Malformed> {
-        let is_plain = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        if text.len() != 2 * LENGTH || !is_plain {
-            return Err(Malformed);
+    /// Fails if the text has any other form.
+    fn from_str(text: &str) -> Result<Self, InvalidFingerprint> {
+        let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if text.len() != 2 * FINGERPRINT_BYTES || !is_hex {
+            return Err(InvalidFingerprint);
         }
-        let number = u128::from_str_radix(text, 16).map_err(|_| Malformed)?;
+        let number = u128::from_str_radix(text, 16).map_err(|_| InvalidFingerprint)?;
         Ok(Self(number.to_be_bytes()))
     }
 }
--- a/crates/ploverwick_quarantine/src/lib.rs
+++ b/crates/ploverwick_quarantine/src/lib.rs
@@ -1,16 +1,16 @@
-//! Which requests crash the endpoints that run them.
+//! Detection of requests that crash the endpoints that run them.
 //!
-//! Pure state: callers pass the time in and carry the messages. Instances agree on what a request and a
-//! crash are called, so that what several saw of one crash counts once.
+//! This crate holds state only: callers pass in the time and transport the messages. All instances derive the same
+//! identifiers for a request and for a crash, so that a crash that several instances observed counts once.
 
-mod breaks;
+mod broken_connections;
 mod crash;
 mod entry;
 mod fingerprint;
 mod quarantine;
 
-pub use breaks::{Breaks, Diagnosis, Finding, Suspect};
+pub use broken_connections::{BrokenConnections, Diagnosis, Finding, Suspect};
 pub use crash::Crash;
-pub use entry::{Entry, THRESHOLD};
-pub use fingerprint::{Fingerprint, Malformed};
-pub use quarantine::{Change, PARTS, Quarantine, Status};
+pub use entry::{CRASH_THRESHOLD, Entry};
+pub use fingerprint::{Fingerprint, InvalidFingerprint};
+pub use quarantine::{Change, DIGEST_BUCKETS, Quarantine, Status};
--- a/crates/ploverwick_quarantine/src/quarantine.rs
+++ b/crates/ploverwick_quarantine/src/quarantine.rs
@@ -1,47 +1,49 @@
-//! The requests that endpoints crashed under, and those that are refused for it.
+//! The requests that endpoints crashed under, and the resulting refusals.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use ploverwick_names::Moment;
 
-use crate::{Crash, Entry, Fingerprint, THRESHOLD};
+use crate::{CRASH_THRESHOLD, Crash, Entry, Fingerprint};
 
-/// The most requests that are remembered: some 100 bytes each, 0.4 MB. Thirty endpoints that crash at once with
-/// sixty requests each add 1,800.
-const MOST: usize = 4_096;
-/// The parts in which instances compare what they hold, so that a lost message costs the repeat of a part.
-pub const PARTS: usize = 16;
+/// The maximum number of tracked requests, of about 100 bytes each or 0.4 MB in total. Thirty endpoints that crash
+/// at once with sixty requests each add 1,800.
+const MAX_ENTRIES: usize = 4_096;
+/// The number of buckets in which instances compare their entries, so that after a lost message only one bucket
+/// has to be sent again.
+pub const DIGEST_BUCKETS: usize = 16;
 
-/// What follows for a request.
+/// The status of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing is counted against it.
+    /// No crashes are counted against it.
     Clear,
-    /// So many endpoints crashed under it.
+    /// This many endpoints crashed under it, fewer than the threshold.
     Suspected(usize),
     /// It is refused.
     Refused,
 }
 
 impl Status {
-    /// Returns whether the system may send it to a second endpoint of its own accord. If one more crash
-    /// would refuse it, the caller has to ask again: others would lose their answers for a repeat that nobody asked for.
+    /// Returns whether the request may be retried at another endpoint automatically. If one more crash would cause it
+    /// to be refused, the caller has to send it again: an automatic retry that crashes the endpoint costs other
+    /// callers their answers.
     pub fn may_repeat(self) -> bool {
         match self {
             Self::Clear => true,
-            Self::Suspected(crashes) => crashes + 1 < THRESHOLD,
+            Self::Suspected(crashes) => crashes + 1 < CRASH_THRESHOLD,
             Self::Refused => false,
         }
     }
 }
 
-/// What a piece of news changed.
+/// The effect of an update on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// Nothing changed.
     Unchanged,
-    /// Something, but not whether the request is refused.
+    /// The entry changed, but not whether the request is refused.
     Updated,
     /// The request is refused from now on.
     Refused,
@@ -50,27 +52,27 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct TrackedEntry {
     entry: Entry,
-    /// How long ago it last changed when it came here, perhaps before this process started.
+    /// The age of its last change at `merged_at`. The change may predate the start of this process.
     age: Duration,
-    /// When it came.
-    at: Moment,
-    /// Whether this instance has seen one of the crashes itself.
-    is_seen_here: bool,
+    /// When the entry was last merged with a change.
+    merged_at: Moment,
+    /// Whether this instance has observed one of the crashes itself.
+    is_observed_locally: bool,
 }
 
-impl Kept {
+impl TrackedEntry {
     fn age(&self, now: Moment) -> Duration {
-        self.age + now.since(self.at)
+        self.age + now.since(self.merged_at)
     }
 
-    fn has_lapsed(&self, now: Moment) -> bool {
-        self.age(now) >= self.entry.lapse()
+    fn is_expired(&self, now: Moment) -> bool {
+        self.age(now) >= self.entry.ttl()
     }
 
-    /// Returns what is dropped last where there is too much: the same at all instances.
-    fn rank(&self) -> (usize, u32, Fingerprint) {
+    /// Returns the key by which entries are evicted, lowest first. It is the same at all instances.
+    fn eviction_rank(&self) -> (usize, u32, Fingerprint) {
         let entry = &self.entry;
         (entry.crashes.len(), entry.resets, entry.fingerprint)
     }
@@ -79,35 +81,38 @@
 /// The requests that endpoints crashed under.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    entries: HashMap<Fingerprint, Kept>,
-    /// The sums of the entries' digests, kept up to date: they are compared many times for each change.
-    digests: [u64; PARTS],
+    entries: HashMap<Fingerprint, TrackedEntry>,
+    /// The XOR of the entries' digests, by bucket. They are maintained incrementally because they are compared many
+    /// times for each change.
+    digests: [u64; DIGEST_BUCKETS],
 }
 
 impl Quarantine {
-    /// Returns whether nothing is counted against any request.
+    /// Returns whether no request is tracked.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Counts the requests that are refused.
+    /// Returns the number of refused requests.
     pub fn refused(&self) -> usize {
         let entries = self.entries.values();
-        entries.filter(|kept| kept.entry.is_at_threshold()).count()
+        entries
+            .filter(|tracked| tracked.entry.is_at_threshold())
+            .count()
     }
 
-    /// Returns what follows for a request.
+    /// Returns the status of a request.
     pub fn status(&self, fingerprint: &Fingerprint, now: Moment) -> Status {
-        let kept = self.entries.get(fingerprint);
-        let kept = kept.filter(|kept| !kept.has_lapsed(now));
-        match kept.map_or(0, |kept| kept.entry.crashes.len()) {
+        let tracked = self.entries.get(fingerprint);
+        let tracked = tracked.filter(|tracked| !tracked.is_expired(now));
+        match tracked.map_or(0, |tracked| tracked.entry.crashes.len()) {
             0 => Status::Clear,
-            crashes if crashes < THRESHOLD => Status::Suspected(crashes),
+            crashes if crashes < CRASH_THRESHOLD => Status::Suspected(crashes),
             _ => Status::Refused,
         }
     }
 
-    /// Takes in that this instance saw an endpoint crash under a request; returns its entry, to be told.
+    /// Records that this instance observed an endpoint crash under a request; returns the entry to broadcast.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -117,49 +122,49 @@
         let mut entry = self.entry(&fingerprint, now);
         entry.crashes = vec![crash];
         entry.age_s = 0;
-        let change = self.take(&entry, now);
-        if let Some(kept) = self.entries.get_mut(&fingerprint) {
-            kept.is_seen_here = true;
+        let change = self.merge(&entry, now);
+        if let Some(tracked) = self.entries.get_mut(&fingerprint) {
+            tracked.is_observed_locally = true;
         }
         (change, self.entry(&fingerprint, now))
     }
 
-    /// Takes in that a request succeeded, which proves that it need not crash what runs it; returns
-    /// its entry, to be told, if something was counted against it.
+    /// Resets the crashes of a request that succeeded, since it does not necessarily crash the endpoint that runs it.
+    /// Returns the entry to broadcast if crashes were counted against it.
     pub fn reset(&mut self, fingerprint: &Fingerprint, now: Moment) -> Option<(Change, Entry)> {
         if self.status(fingerprint, now) == Status::Clear {
             return None;
         }
         let entry = self.entry(fingerprint, now).after_reset();
-        let change = self.take(&entry, now);
+        let change = self.merge(&entry, now);
         Some((change, entry))
     }
 
-    /// Takes in an entry of another instance, or of an earlier life.
-    pub fn take(&mut self, entry: &Entry, now: Moment) -> Change {
+    /// Merges an entry of another instance, or one that was stored earlier.
+    pub fn merge(&mut self, entry: &Entry, now: Moment) -> Change {
         let age = Duration::from_secs(entry.age_s.into());
-        if age >= entry.lapse() {
+        if age >= entry.ttl() {
             return Change::Unchanged;
         }
         let before = self.status(&entry.fingerprint, now);
-        let fresh = || Kept {
+        let new_tracked = || TrackedEntry {
             entry: Entry::new(entry.fingerprint),
             age,
-            at: now,
-            is_seen_here: false,
+            merged_at: now,
+            is_observed_locally: false,
         };
-        let kept = self.remove(&entry.fingerprint);
-        let kept = kept.filter(|kept| !kept.has_lapsed(now));
-        let mut kept = kept.unwrap_or_else(fresh);
-        let has_changed = kept.entry.merge(entry);
+        let tracked = self.remove(&entry.fingerprint);
+        let tracked = tracked.filter(|tracked| !tracked.is_expired(now));
+        let mut tracked = tracked.unwrap_or_else(new_tracked);
+        let has_changed = tracked.entry.merge(entry);
         if has_changed {
-            kept.age = kept.age(now).min(age);
-            kept.at = now;
+            tracked.age = tracked.age(now).min(age);
+            tracked.merged_at = now;
         }
-        if kept.entry != Entry::new(entry.fingerprint) {
-            self.insert(kept);
+        if tracked.entry != Entry::new(entry.fingerprint) {
+            self.insert(tracked);
         }
-        self.bound();
+        self.evict_excess();
         match (before, self.status(&entry.fingerprint, now)) {
             (Status::Refused, Status::Refused) => Change::Unchanged,
             (_, Status::Refused) => Change::Refused,
@@ -169,73 +174,81 @@
         }
     }
 
-    /// Returns whether this instance has seen an endpoint crash under a request.
-    pub fn is_seen_here(&self, fingerprint: &Fingerprint) -> bool {
-        let kept = self.entries.get(fingerprint);
-        kept.is_some_and(|kept| kept.is_seen_here)
+    /// Returns whether this instance has observed an endpoint crash under a request.
+    pub fn is_observed_locally(&self, fingerprint: &Fingerprint) -> bool {
+        let tracked = self.entries.get(fingerprint);
+        tracked.is_some_and(|tracked| tracked.is_observed_locally)
     }
 
-    /// Drops what has lapsed; returns the requests that are no longer refused.
-    pub fn sweep(&mut self, now: Moment) -> Vec<Fingerprint> {
+    /// Removes expired entries; returns the requests that are no longer refused.
+    pub fn remove_expired(&mut self, now: Moment) -> Vec<Fingerprint> {
         let entries = self.entries.values();
-        let lapsed = entries.filter(|kept| kept.has_lapsed(now));
-        let lapsed: Vec<Fingerprint> = lapsed.map(|kept| kept.entry.fingerprint).collect();
-        let dropped = lapsed.iter().filter_map(|lapsed| self.remove(lapsed));
-        let released = dropped.filter(|kept| kept.entry.is_at_threshold());
-        released.map(|kept| kept.entry.fingerprint).collect()
+        let expired = entries.filter(|tracked| tracked.is_expired(now));
+        let expired: Vec<Fingerprint> = expired.map(|tracked| tracked.entry.fingerprint).collect();
+        let dropped = expired.iter().filter_map(|expired| self.remove(expired));
+        let released = dropped.filter(|tracked| tracked.entry.is_at_threshold());
+        released.map(|tracked| tracked.entry.fingerprint).collect()
     }
 
-    /// Returns a number for each part of the requests; where those of two instances differ, so do entries.
-    pub fn digests(&self) -> [u64; PARTS] {
+    /// Returns a digest for each bucket. If the digests of two instances differ, so do their entries in that bucket.
+    pub fn digests(&self) -> [u64; DIGEST_BUCKETS] {
         self.digests
     }
 
-    /// Lists the entries of the parts in which another instance has other digests.
-    pub fn differing(&self, other: &[u64; PARTS], now: Moment) -> Vec<Entry> {
+    /// Returns the entries of the buckets whose digests differ from those of another instance.
+    pub fn differing(&self, other: &[u64; DIGEST_BUCKETS], now: Moment) -> Vec<Entry> {
         if self.digests == *other {
             return Vec::new();
         }
         let entries = self.entries.values();
-        let entries = entries.filter(|kept| {
-            let part = kept.entry.fingerprint.part(PARTS);
-            self.digests[part] != other[part]
+        let entries = entries.filter(|tracked| {
+            let bucket = tracked.entry.fingerprint.bucket(DIGEST_BUCKETS);
+            self.digests[bucket] != other[bucket]
         });
-        entries.map(|kept| aged(kept, now)).collect()
+        entries
+            .map(|tracked| with_current_age(tracked, now))
+            .collect()
     }
 
-    /// Returns what is counted against a request.
+    /// Returns the entry of a request, which is empty if the request is not tracked.
     pub fn entry(&self, fingerprint: &Fingerprint, now: Moment) -> Entry {
-        let kept = self.entries.get(fingerprint);
-        kept.map_or_else(|| Entry::new(*fingerprint), |kept| aged(kept, now))
+        let tracked = self.entries.get(fingerprint);
+        tracked.map_or_else(
+            || Entry::new(*fingerprint),
+            |tracked| with_current_age(tracked, now),
+        )
     }
 
-    /// Drops those that matter least if there are too many.
-    fn bound(&mut self) {
-        if self.entries.len() <= MOST {
+    /// Removes the entry with the lowest rank if there are too many.
+    fn evict_excess(&mut self) {
+        if self.entries.len() <= MAX_ENTRIES {
             return;
         }
-        let least = self.entries.values().min_by_key(|kept| kept.rank());
-        if let Some(least) = least.map(|kept| kept.entry.fingerprint) {
+        let least = self
+            .entries
+            .values()
+            .min_by_key(|tracked| tracked.eviction_rank());
+        if let Some(least) = least.map(|tracked| tracked.entry.fingerprint) {
             self.remove(&least);
         }
     }
 
-    fn insert(&mut self, kept: Kept) {
-        self.digests[kept.entry.fingerprint.part(PARTS)] ^= kept.entry.digest();
-        self.entries.insert(kept.entry.fingerprint, kept);
+    fn insert(&mut self, tracked: TrackedEntry) {
+        self.digests[tracked.entry.fingerprint.bucket(DIGEST_BUCKETS)] ^= tracked.entry.digest();
+        self.entries.insert(tracked.entry.fingerprint, tracked);
     }
 
-    fn remove(&mut self, fingerprint: &Fingerprint) -> Option<Kept> {
-        let kept = self.entries.remove(fingerprint)?;
-        self.digests[fingerprint.part(PARTS)] ^= kept.entry.digest();
-        Some(kept)
+    fn remove(&mut self, fingerprint: &Fingerprint) -> Option<TrackedEntry> {
+        let tracked = self.entries.remove(fingerprint)?;
+        self.digests[fingerprint.bucket(DIGEST_BUCKETS)] ^= tracked.entry.digest();
+        Some(tracked)
     }
 }
 
-fn aged(kept: &Kept, now: Moment) -> Entry {
-    let age = kept.age(now).as_secs();
+fn with_current_age(tracked: &TrackedEntry, now: Moment) -> Entry {
+    let age = tracked.age(now).as_secs();
     Entry {
         age_s: u32::try_from(age).unwrap_or(u32::MAX),
-        ..kept.entry.clone()
+        ..tracked.entry.clone()
     }
 }
--- a/crates/ploverwick_quarantine/tests/entry_histories.rs
+++ b/crates/ploverwick_quarantine/tests/entry_histories.rs
@@ -63,8 +63,8 @@
 fn crash_counts_once() {
     let mut one = seen(&[0, 0, 1]);
     for entry in all(&seen(&[1, 0]), START) {
-        one.take(&entry, START);
-        one.take(&entry, START);
+        one.merge(&entry, START);
+        one.merge(&entry, START);
     }
     let status = one.status(&request(0), START);
     expect_that!(status, eq(Status::Suspected(2)));
@@ -77,7 +77,7 @@
     let mut one = seen(&[0]);
     for other in [seen(&[1]), seen(&[2])] {
         for entry in all(&other, START) {
-            one.take(&entry, START);
+            one.merge(&entry, START);
         }
     }
     expect_that!(one.status(&request(0), START), eq(Status::Refused));
@@ -93,7 +93,7 @@
         .expect("something was counted against it");
     expect_that!(change, eq(Change::Released));
     for entry in before {
-        expect_that!(one.take(&entry, START), eq(Change::Unchanged));
+        expect_that!(one.merge(&entry, START), eq(Change::Unchanged));
     }
     expect_that!(one.status(&request(0), START), eq(Status::Clear));
     expect_that!(one.reset(&request(0), START), none());
@@ -111,7 +111,10 @@
     );
     expect_that!(one.status(&request(1), after(3_600)), eq(Status::Clear));
     expect_that!(one.status(&request(0), after(day + 9)), eq(Status::Refused));
-    expect_that!(one.sweep(after(day + 10)), elements_are![eq(&request(0))]);
+    expect_that!(
+        one.remove_expired(after(day + 10)),
+        elements_are![eq(&request(0))]
+    );
     expect_that!(one.is_empty(), eq(true));
 }
 
@@ -121,13 +124,13 @@
     let one = seen(&[0, 1, 2]);
     let mut young = Quarantine::default();
     for entry in all(&one, after(80_000)) {
-        young.take(&entry, after(1));
+        young.merge(&entry, after(1));
     }
     expect_that!(young.status(&request(0), after(6_000)), eq(Status::Refused));
     expect_that!(young.status(&request(0), after(6_401)), eq(Status::Clear));
     let mut old = Quarantine::default();
     for entry in all(&one, after(90_000)) {
-        expect_that!(old.take(&entry, after(1)), eq(Change::Unchanged));
+        expect_that!(old.merge(&entry, after(1)), eq(Change::Unchanged));
     }
 }
 
@@ -147,10 +150,10 @@
     let (of_one, of_other) = (one.digests(), other.digests());
     let to_other = one.differing(&of_other, START);
     for entry in other.differing(&of_one, START) {
-        one.take(&entry, START);
+        one.merge(&entry, START);
     }
     for entry in to_other {
-        other.take(&entry, START);
+        other.merge(&entry, START);
     }
     expect_that!(one.digests(), eq(other.digests()));
     expect_that!(one.differing(&other.digests(), START), is_empty());
@@ -179,7 +182,7 @@
         age_s: 0,
     };
     let mut one = Quarantine::default();
-    one.take(&odd, START);
+    one.merge(&odd, START);
     let kept = all(&one, START);
     expect_that!(kept[0].crashes.len(), eq(3));
     expect_that!(kept[0].crashes.is_sorted(), eq(true));
@@ -229,7 +232,7 @@
                 }
             }
             if let Some(entry) = news.get(random.random_range(0..news.len().max(1))).cloned() {
-                instances[random.random_range(0..4)].take(&entry, START);
+                instances[random.random_range(0..4)].merge(&entry, START);
             }
         }
         for instance in &mut instances {
@@ -237,7 +240,7 @@
             late.extend(news.iter().take(5).cloned());
             late.shuffle(&mut random);
             for entry in &late {
-                instance.take(entry, START);
+                instance.merge(entry, START);
             }
         }
         for instance in &instances {
--- a/crates/ploverwick_quarantine/tests/fleet_histories.rs
+++ b/crates/ploverwick_quarantine/tests/fleet_histories.rs
@@ -8,7 +8,9 @@
 
 use googletest::prelude::*;
 use ploverwick_names::Moment;
-use ploverwick_quarantine::{Change, Crash, Entry, Fingerprint, PARTS, Quarantine, Status};
+use ploverwick_quarantine::{
+    Change, Crash, DIGEST_BUCKETS, Entry, Fingerprint, Quarantine, Status,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -46,7 +48,7 @@
     Compares {
         from: usize,
         to: usize,
-        digests: [u64; PARTS],
+        digests: [u64; DIGEST_BUCKETS],
         asks: bool,
     },
     /// An instance's turn to compare.
@@ -269,8 +271,8 @@
         let now = Moment(self.now);
         for entry in entries {
             let quarantine = &mut self.instances[at].quarantine;
-            let change = quarantine.take(entry, now);
-            if change == Change::Refused && quarantine.is_seen_here(&request()) {
+            let change = quarantine.merge(entry, now);
+            if change == Change::Refused && quarantine.is_observed_locally(&request()) {
                 self.write(at);
             }
         }
