--- a/crates/ploverwick_quota/tests/fleet/mod.rs
+++ b/crates/ploverwick_quota/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A whole fleet without a network: instances that share quotas, messages that are late or lost, and a
-//! judge that sees every unit that is used.
+//! Simulation of a fleet: instances that share quotas, messages that are delayed or lost, and a checker that records
+//! every unit used.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -13,37 +13,37 @@
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
 
-/// The window over which use is judged, in ms.
-pub const WINDOW: u64 = 8_000;
-/// The units beyond a quota that a window may hold, as a factor and a number.
+/// The window over which usage is checked.
+pub const WINDOW_MS: u64 = 8_000;
+/// The allowed excess over the quota in a window, as a factor and as additional units.
 const OVERSHOOT: f64 = 1.1;
 const SLACK: f64 = 110_000.0;
-/// How long a request waits for an answer, in ms: a third of the shortest objective.
-const PATIENCE: u64 = 100;
+/// How long a request waits for an answer: a third of the shortest latency objective.
+const REQUEST_TIMEOUT_MS: u64 = 100;
 
-/// What pools.
+/// How the quotas are shared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// The first instances for all.
+pub enum Sharing {
+    /// The first available instance pools the shares of all.
     Pooled,
-    /// Each for itself: even parts.
+    /// Each instance uses an equal share by itself.
     Even,
 }
 
 /// An organisation and its load.
 #[derive(Debug, Clone)]
-pub struct Caller {
+pub struct Organisation {
     pub name: Arc<str>,
     pub quota: Quota,
-    /// Requests a second over the whole fleet.
+    /// Requests per second over the whole fleet.
     pub rate: f64,
-    /// The instances that its clients reach; `None` for all.
-    pub reaches: Option<usize>,
+    /// The number of instances that its clients reach; `None` for all.
+    pub reachable_instances: Option<usize>,
 }
 
-impl Caller {
-    /// Makes one with a quota of so many tokens a second that asks for a part of it.
-    pub fn new(name: &str, tokens: f64, asks: f64) -> Self {
+impl Organisation {
+    /// Creates an organisation with a quota of `tokens` per second that uses the fraction `utilisation` of it.
+    pub fn new(name: &str, tokens: f64, utilisation: f64) -> Self {
         Self {
             name: Arc::from(name),
             quota: Quota {
@@ -51,16 +51,16 @@
                 burst: tokens,
                 unit: Unit::Tokens { plain: 200 },
             },
-            rate: tokens * asks / MEAN,
-            reaches: None,
+            rate: tokens * utilisation / MEAN_COST,
+            reachable_instances: None,
         }
     }
 }
 
-/// The tokens of a request on average: a third are plain calls, and one in 33 is long.
-const MEAN: f64 = 200.0 / 3.0 + 716.0 * (2.0 / 3.0 - 0.03) + 9_000.0 * 0.03;
+/// The average tokens of a request: a third are plain calls, and one in 33 is long.
+const MEAN_COST: f64 = 200.0 / 3.0 + 716.0 * (2.0 / 3.0 - 0.03) + 9_000.0 * 0.03;
 
-fn size(random: &mut impl Rng) -> u32 {
+fn request_cost(random: &mut impl Rng) -> u32 {
     let kind: f64 = random.random();
     let spread: f64 = random.random_range(0.5..1.5);
     if kind < 1.0 / 3.0 {
@@ -74,20 +74,24 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Deliver { to: usize, life: u64, mail: usize },
+    Deliver {
+        to: usize,
+        incarnation: u64,
+        message: usize,
+    },
 }
 
 #[derive(Debug, Clone)]
-enum Mail {
+enum Message {
     Lease {
         from: usize,
-        life: u64,
-        asked: Moment,
+        incarnation: u64,
+        sent_at: Moment,
         lease: Lease,
     },
     Grant {
         from: usize,
-        asked: Moment,
+        sent_at: Moment,
         grants: Vec<Grant>,
     },
 }
@@ -95,80 +99,81 @@
 struct Instance {
     allocation: Allocation,
     pool: Pool,
-    began: u64,
-    life: u64,
-    /// Until when it is down or stands still.
+    started_at: u64,
+    incarnation: u64,
+    /// When it is running again after it was killed.
     down_until: u64,
+    /// When it continues after it was frozen.
     frozen_until: u64,
-    /// Whether it is cut off from all others until then.
-    cut_until: u64,
-    last_told: u64,
-    waiting: Vec<(usize, Ticket, u32, u64, bool)>,
+    /// When its messages are delivered again after it was isolated.
+    isolated_until: u64,
+    last_sent_at: u64,
+    pending: Vec<(usize, Ticket, u32, u64, bool)>,
 }
 
-/// What the judge saw.
+/// The statistics that the checker records.
 #[derive(Debug, Default, Clone)]
-pub struct Seen {
-    pub asked: u64,
+pub struct Stats {
+    pub requests: u64,
     pub granted: u64,
     pub granted_tokens: f64,
-    /// Refused though one bucket for the whole fleet had room.
-    pub wrongly: u64,
-    pub wrongly_tokens: f64,
-    pub owed_tokens: f64,
+    /// Requests that were refused although a single counter for the whole fleet had room.
+    pub wrong_refusals: u64,
+    pub wrongly_refused_tokens: f64,
+    pub within_quota_tokens: f64,
     pub messages: u64,
     pub bytes: u64,
-    /// The fullest window against what it may hold.
-    pub fullest: f64,
+    /// The usage in the fullest window, as a fraction of the maximum.
+    pub max_window_fill: f64,
 }
 
-/// What was used in the last window.
+/// The units used in the last window.
 #[derive(Debug, Default, Clone)]
 struct Window {
-    uses: VecDeque<(u64, f64)>,
+    entries: VecDeque<(u64, f64)>,
     sum: f64,
 }
 
 impl Window {
     fn add(&mut self, now: u64, cost: f64) {
-        self.uses.push_back((now, cost));
+        self.entries.push_back((now, cost));
         self.sum += cost;
-        let from = now.saturating_sub(WINDOW);
-        while let Some((_, gone)) = self.uses.pop_front_if(|(at, _)| *at <= from) {
-            self.sum -= gone;
+        let from = now.saturating_sub(WINDOW_MS);
+        while let Some((_, expired_cost)) = self.entries.pop_front_if(|(at, _)| *at <= from) {
+            self.sum -= expired_cost;
         }
     }
 
-    fn take_back(&mut self) {
-        if let Some((_, last)) = self.uses.pop_back() {
+    fn undo_last(&mut self) {
+        if let Some((_, last)) = self.entries.pop_back() {
             self.sum -= last;
         }
     }
 }
 
-/// Returns what a window may hold.
-fn allowed(quota: &Quota) -> f64 {
-    quota.rate * WINDOW as f64 / 1_000.0 + quota.burst
+/// Returns the quota for one window.
+fn window_limit(quota: &Quota) -> f64 {
+    quota.rate * WINDOW_MS as f64 / 1_000.0 + quota.burst
 }
 
-/// One counter for the whole fleet that knows all at once.
+/// A single counter for the whole fleet without any delay, for comparison.
 #[derive(Debug, Default, Clone)]
 struct Reference(Window);
 
-/// A fleet.
+/// The simulated fleet.
 pub struct Fleet {
     now: u64,
-    way: Way,
+    sharing: Sharing,
     random: StdRng,
     instances: Vec<Instance>,
-    callers: Vec<Caller>,
+    organisations: Vec<Organisation>,
     references: Vec<Reference>,
-    used: Vec<Window>,
+    usage: Vec<Window>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
-    mails: HashMap<usize, Mail>,
-    sent: usize,
-    loss: f64,
-    pub seen: Seen,
+    in_flight: HashMap<usize, Message>,
+    message_count: usize,
+    loss_rate: f64,
+    pub stats: Stats,
 }
 
 pub fn ip(index: usize) -> IpAddr {
@@ -185,73 +190,73 @@
 }
 
 impl Fleet {
-    pub fn new(size: usize, callers: Vec<Caller>, way: Way, seed: u64) -> Self {
+    pub fn new(size: usize, organisations: Vec<Organisation>, sharing: Sharing, seed: u64) -> Self {
         let instances = (0..size).map(|index| Instance {
             allocation: Allocation::new(ip(index), Moment(0)),
-            pool: Pool::new(Duration::from_millis(WINDOW)),
-            began: 0,
-            life: 0,
+            pool: Pool::new(Duration::from_millis(WINDOW_MS)),
+            started_at: 0,
+            incarnation: 0,
             down_until: 0,
             frozen_until: 0,
-            cut_until: 0,
-            last_told: 0,
-            waiting: Vec::new(),
+            isolated_until: 0,
+            last_sent_at: 0,
+            pending: Vec::new(),
         });
         Self {
             now: 0,
-            way,
+            sharing,
             random: StdRng::seed_from_u64(seed),
             instances: instances.collect(),
-            references: vec![Reference::default(); callers.len()],
-            used: vec![Window::default(); callers.len()],
-            callers,
+            references: vec![Reference::default(); organisations.len()],
+            usage: vec![Window::default(); organisations.len()],
+            organisations,
             events: BinaryHeap::new(),
-            mails: HashMap::new(),
-            sent: 0,
-            loss: 0.001,
-            seen: Seen::default(),
+            in_flight: HashMap::new(),
+            message_count: 0,
+            loss_rate: 0.001,
+            stats: Stats::default(),
         }
     }
 
-    pub fn lose(&mut self, loss: f64) {
-        self.loss = loss;
+    pub fn set_loss_rate(&mut self, loss_rate: f64) {
+        self.loss_rate = loss_rate;
     }
 
-    pub fn caller(&mut self, number: usize) -> &mut Caller {
-        &mut self.callers[number]
+    pub fn organisation(&mut self, number: usize) -> &mut Organisation {
+        &mut self.organisations[number]
     }
 
-    pub fn draw(&mut self, below: usize) -> usize {
+    pub fn random_index(&mut self, below: usize) -> usize {
         self.random.random_range(0..below)
     }
 
-    /// Kills an instance; it is back after so many ms and knows nothing.
+    /// Kills an instance, which restarts without its state after `for_ms`.
     pub fn kill(&mut self, index: usize, for_ms: u64) {
         let back = self.now + for_ms;
         let instance = &mut self.instances[index];
         instance.down_until = back;
-        instance.began = back;
-        instance.life += 1;
+        instance.started_at = back;
+        instance.incarnation += 1;
         instance.allocation = Allocation::new(ip(index), Moment(0));
-        instance.pool = Pool::new(Duration::from_millis(WINDOW));
-        instance.waiting.clear();
+        instance.pool = Pool::new(Duration::from_millis(WINDOW_MS));
+        instance.pending.clear();
     }
 
     pub fn freeze(&mut self, index: usize, for_ms: u64) {
         self.instances[index].frozen_until = self.now + for_ms;
     }
 
-    pub fn cut(&mut self, index: usize, for_ms: u64) {
-        self.instances[index].cut_until = self.now + for_ms;
+    pub fn isolate(&mut self, index: usize, for_ms: u64) {
+        self.instances[index].isolated_until = self.now + for_ms;
     }
 
-    /// Runs for so many ms, a tick of 2 ms at a time.
+    /// Runs the simulation for `for_ms` in steps of 2 ms.
     pub fn run(&mut self, for_ms: u64) {
         let until = self.now + for_ms;
         while self.now < until {
             self.now += 2;
             self.deliver();
-            self.arrive();
+            self.generate_requests();
             for index in 0..self.instances.len() {
                 if self.is_up(index) {
                     self.step(index);
@@ -260,11 +265,11 @@
         }
     }
 
-    /// Forgets what was seen of waste so far; the windows stay.
-    pub fn count_anew(&mut self) {
-        self.seen = Seen {
-            fullest: self.seen.fullest,
-            ..Seen::default()
+    /// Resets the statistics except for the fullest window.
+    pub fn reset_stats(&mut self) {
+        self.stats = Stats {
+            max_window_fill: self.stats.max_window_fill,
+            ..Stats::default()
         };
     }
 
@@ -273,166 +278,173 @@
         instance.down_until <= self.now && instance.frozen_until <= self.now
     }
 
-    fn moment(&self, index: usize) -> Moment {
-        Moment(self.now - self.instances[index].began)
+    fn local_time(&self, index: usize) -> Moment {
+        Moment(self.now - self.instances[index].started_at)
     }
 
-    fn arrive(&mut self) {
-        for caller in 0..self.callers.len() {
-            let Caller { rate, reaches, .. } = self.callers[caller];
+    fn generate_requests(&mut self) {
+        for organisation in 0..self.organisations.len() {
+            let Organisation {
+                rate,
+                reachable_instances,
+                ..
+            } = self.organisations[organisation];
             let mut left = rate * 0.002;
             while left > 0.0 {
                 if self.random.random::<f64>() < left.min(1.0) {
-                    let among = reaches.unwrap_or(self.instances.len());
+                    let among = reachable_instances.unwrap_or(self.instances.len());
                     let index = self.random.random_range(0..among);
-                    self.request(caller, index);
+                    self.request(organisation, index);
                 }
                 left -= 1.0;
             }
         }
     }
 
-    fn request(&mut self, caller: usize, index: usize) {
-        let cost = size(&mut self.random);
+    fn request(&mut self, organisation: usize, index: usize) {
+        let cost = request_cost(&mut self.random);
         if !self.is_up(index) {
             return;
         }
-        self.seen.asked += 1;
-        let is_owed = self.is_owed(caller, cost);
-        if is_owed {
-            self.seen.owed_tokens += f64::from(cost);
+        self.stats.requests += 1;
+        let is_within_quota = self.is_within_quota(organisation, cost);
+        if is_within_quota {
+            self.stats.within_quota_tokens += f64::from(cost);
         }
-        let now = self.moment(index);
-        let Caller { name, quota, .. } = self.callers[caller].clone();
+        let now = self.local_time(index);
+        let Organisation { name, quota, .. } = self.organisations[organisation].clone();
         match self.instances[index]
             .allocation
             .acquire(&name, &quota, cost, now)
         {
-            Admission::Granted => self.grant(caller, cost),
-            Admission::OverQuota(_) => self.refuse(cost, is_owed),
+            Admission::Granted => self.grant(organisation, cost),
+            Admission::OverQuota(_) => self.refuse(cost, is_within_quota),
             Admission::Pending(ticket) => {
-                let until = self.now + PATIENCE;
-                let waiting = (caller, ticket, cost, until, is_owed);
-                self.instances[index].waiting.push(waiting);
+                let until = self.now + REQUEST_TIMEOUT_MS;
+                let pending = (organisation, ticket, cost, until, is_within_quota);
+                self.instances[index].pending.push(pending);
             }
         }
     }
 
-    fn is_owed(&mut self, caller: usize, cost: u32) -> bool {
-        let quota = self.callers[caller].quota;
-        let Reference(window) = &mut self.references[caller];
+    fn is_within_quota(&mut self, organisation: usize, cost: u32) -> bool {
+        let quota = self.organisations[organisation].quota;
+        let Reference(window) = &mut self.references[organisation];
         window.add(self.now, f64::from(cost));
-        let has_room = window.sum <= allowed(&quota);
+        let has_room = window.sum <= window_limit(&quota);
         if !has_room {
-            window.take_back();
+            window.undo_last();
         }
         has_room
     }
 
-    fn grant(&mut self, caller: usize, cost: u32) {
-        self.seen.granted += 1;
-        self.seen.granted_tokens += f64::from(cost);
-        let quota = self.callers[caller].quota;
-        let used = &mut self.used[caller];
-        used.add(self.now, f64::from(cost));
-        let sum = used.sum;
-        let most = allowed(&quota) * OVERSHOOT + SLACK;
-        self.seen.fullest = self.seen.fullest.max(sum / most);
+    fn grant(&mut self, organisation: usize, cost: u32) {
+        self.stats.granted += 1;
+        self.stats.granted_tokens += f64::from(cost);
+        let quota = self.organisations[organisation].quota;
+        let usage = &mut self.usage[organisation];
+        usage.add(self.now, f64::from(cost));
+        let sum = usage.sum;
+        let max_units = window_limit(&quota) * OVERSHOOT + SLACK;
+        self.stats.max_window_fill = self.stats.max_window_fill.max(sum / max_units);
     }
 
-    fn refuse(&mut self, cost: u32, is_owed: bool) {
-        if is_owed {
-            self.seen.wrongly += 1;
-            self.seen.wrongly_tokens += f64::from(cost);
+    fn refuse(&mut self, cost: u32, is_within_quota: bool) {
+        if is_within_quota {
+            self.stats.wrong_refusals += 1;
+            self.stats.wrongly_refused_tokens += f64::from(cost);
         }
     }
 
-    /// Tells pools what is due and settles what waits.
+    /// Sends the messages that are due and polls the pending requests.
     fn step(&mut self, index: usize) {
-        let now = self.moment(index);
+        let now = self.local_time(index);
         let size = self.instances.len();
-        let pools: Vec<IpAddr> = match self.way {
-            Way::Pooled => (0..size).map(ip).collect(),
-            Way::Even => vec![ip(index)],
+        let pools: Vec<IpAddr> = match self.sharing {
+            Sharing::Pooled => (0..size).map(ip).collect(),
+            Sharing::Even => vec![ip(index)],
         };
         let instance = &mut self.instances[index];
-        let is_urgent = instance.allocation.has_urgent() && self.now >= instance.last_told + 10;
+        let is_urgent = instance.allocation.has_urgent() && self.now >= instance.last_sent_at + 10;
         if is_urgent || instance.allocation.due() <= now {
-            instance.last_told = self.now;
-            let life = instance.life;
+            instance.last_sent_at = self.now;
+            let incarnation = instance.incarnation;
             for (to, lease) in instance.allocation.prepare_leases(&pools, size, now) {
-                let mail = Mail::Lease {
+                let message = Message::Lease {
                     from: index,
-                    life,
-                    asked: now,
+                    incarnation,
+                    sent_at: now,
                     lease,
                 };
-                self.send(index, self::index(to), mail);
+                self.send(index, self::index(to), message);
             }
         }
-        self.settle(index);
+        self.poll_pending(index);
     }
 
-    fn settle(&mut self, index: usize) {
-        let waiting = std::mem::take(&mut self.instances[index].waiting);
-        for (caller, ticket, cost, until, is_owed) in waiting {
-            let name = Arc::clone(&self.callers[caller].name);
+    fn poll_pending(&mut self, index: usize) {
+        let pending = std::mem::take(&mut self.instances[index].pending);
+        for (organisation, ticket, cost, until, is_within_quota) in pending {
+            let name = Arc::clone(&self.organisations[organisation].name);
             let allocation = &mut self.instances[index].allocation;
             match allocation.poll(&name, ticket) {
-                Decision::Granted => self.grant(caller, cost),
-                Decision::OverQuota(_) => self.refuse(cost, is_owed),
+                Decision::Granted => self.grant(organisation, cost),
+                Decision::OverQuota(_) => self.refuse(cost, is_within_quota),
                 Decision::Pending if until <= self.now => {
                     allocation.cancel(&name, ticket);
-                    self.refuse(cost, is_owed);
+                    self.refuse(cost, is_within_quota);
                 }
                 Decision::Pending => {
-                    let waiting = (caller, ticket, cost, until, is_owed);
-                    self.instances[index].waiting.push(waiting);
+                    let pending = (organisation, ticket, cost, until, is_within_quota);
+                    self.instances[index].pending.push(pending);
                 }
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, mail: Mail) {
-        let is_own = from == to;
-        if !is_own {
-            self.seen.messages += 1;
-            self.seen.bytes += match &mail {
-                Mail::Lease { lease, .. } => {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
+        let is_local = from == to;
+        if !is_local {
+            self.stats.messages += 1;
+            self.stats.bytes += match &message {
+                Message::Lease { lease, .. } => {
                     20 + lease
                         .grant_requests
                         .iter()
                         .map(|a| 14 + a.costs.len() as u64 * 2)
                         .sum::<u64>()
                 }
-                Mail::Grant { grants, .. } => 20 + grants.len() as u64 * 14,
+                Message::Grant { grants, .. } => 20 + grants.len() as u64 * 14,
             };
-            let is_cut = [from, to]
+            let is_isolated = [from, to]
                 .iter()
-                .any(|index| self.instances[*index].cut_until > self.now);
-            if is_cut || self.random.random::<f64>() < self.loss {
+                .any(|index| self.instances[*index].isolated_until > self.now);
+            if is_isolated || self.random.random::<f64>() < self.loss_rate {
                 return;
             }
         }
-        let delay = if is_own {
+        let delay = if is_local {
             0
         } else {
             self.random.random_range(1..4)
         };
-        self.sent += 1;
-        self.mails.insert(self.sent, mail);
-        let life = self.instances[to].life;
+        self.message_count += 1;
+        self.in_flight.insert(self.message_count, message);
+        let incarnation = self.instances[to].incarnation;
         let event = Event::Deliver {
             to,
-            life,
-            mail: self.sent,
+            incarnation,
+            message: self.message_count,
         };
-        self.events
-            .push(Reverse((self.now + delay, self.sent as u64, event)));
+        self.events.push(Reverse((
+            self.now + delay,
+            self.message_count as u64,
+            event,
+        )));
     }
 
     fn deliver(&mut self) {
-        let mut later = Vec::new();
+        let mut deferred = Vec::new();
         while self
             .events
             .peek()
@@ -441,57 +453,64 @@
             let Some(Reverse((at, number, event))) = self.events.pop() else {
                 break;
             };
-            let Event::Deliver { to, life, mail } = event.clone();
+            let Event::Deliver {
+                to,
+                incarnation,
+                message,
+            } = event.clone();
             let instance = &self.instances[to];
-            if instance.frozen_until > self.now && instance.life == life {
-                // It waits until the instance goes on.
-                later.push(Reverse((instance.frozen_until.max(at), number, event)));
+            if instance.frozen_until > self.now && instance.incarnation == incarnation {
+                // The message stays queued until the instance continues.
+                deferred.push(Reverse((instance.frozen_until.max(at), number, event)));
                 continue;
             }
-            let mail = self.mails.remove(&mail).expect("it was sent");
-            if instance.life == life && instance.down_until <= self.now {
-                self.take(to, mail);
+            let message = self.in_flight.remove(&message).expect("it was sent");
+            if instance.incarnation == incarnation && instance.down_until <= self.now {
+                self.handle(to, message);
             }
         }
-        self.events.extend(later);
+        self.events.extend(deferred);
     }
 
-    fn take(&mut self, to: usize, mail: Mail) {
-        let now = self.moment(to);
-        match mail {
-            Mail::Lease {
+    fn handle(&mut self, to: usize, message: Message) {
+        let now = self.local_time(to);
+        match message {
+            Message::Lease {
                 from,
-                life,
-                asked,
+                incarnation,
+                sent_at,
                 lease,
             } => {
                 let pool = &mut self.instances[to].pool;
                 pool.apply_lease(ip(from), &lease, now);
-                let quotas: HashMap<_, _> =
-                    self.callers.iter().map(|c| (&c.name, c.quota)).collect();
+                let quotas: HashMap<_, _> = self
+                    .organisations
+                    .iter()
+                    .map(|c| (&c.name, c.quota))
+                    .collect();
                 let grants = lease
                     .grant_requests
                     .iter()
                     .map(|ask| pool.grant(ask, &quotas[&ask.organisation], now));
                 let grants = grants.collect();
-                if self.instances[from].life == life {
-                    let mail = Mail::Grant {
+                if self.instances[from].incarnation == incarnation {
+                    let message = Message::Grant {
                         from: to,
-                        asked,
+                        sent_at,
                         grants,
                     };
-                    self.send(to, from, mail);
+                    self.send(to, from, message);
                 }
             }
-            Mail::Grant {
+            Message::Grant {
                 from,
-                asked,
+                sent_at,
                 grants,
             } => {
                 self.instances[to]
                     .allocation
-                    .handle_grants(ip(from), asked, &grants, now);
-                self.settle(to);
+                    .handle_grants(ip(from), sent_at, &grants, now);
+                self.poll_pending(to);
             }
         }
     }
