--- a/crates/ploverwick_gateway/src/filters/quota.rs
+++ b/crates/ploverwick_gateway/src/filters/quota.rs
@@ -92,7 +92,7 @@
         match claim {
             // There is room before it could not be on time any more.
             Decision::OverQuota(wait) if Instant::now() + wait < until => {
-                tokio::time::sleep(wait).await
+                tokio::time::sleep(wait).await;
             }
             Decision::Granted | Decision::OverQuota(_) | Decision::Pending => break claim,
         }
--- a/crates/ploverwick_quarantine/tests/entry_histories.rs
+++ b/crates/ploverwick_quarantine/tests/entry_merge.rs
@@ -1,5 +1,5 @@
-//! The crashes that instances count against requests: in whatever order, however often and late news comes,
-//! all come to the same, and few requests are refused that only ran where an endpoint crashed.
+//! The crashes that instances count against requests. Instances converge whatever the order, repetition and delay of
+//! updates, and requests that merely ran while an endpoint crashed are rarely refused.
 
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     START + Duration::from_secs(seconds)
 }
 
-/// An instance that saw endpoints crash under the first request.
-fn seen(crashes: &[usize]) -> Quarantine {
+/// Returns the quarantine of an instance that observed these crashes under the first request.
+fn observed(crashes: &[usize]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in crashes {
         quarantine.record_crash(request(0), crash(*number), START);
@@ -58,11 +58,11 @@
     expect_that!(other, eq(Status::Clear));
 }
 
-/// Several instances have the request under way at the endpoint that ends, or hear of it twice.
+/// Several instances may observe the same crash, or receive it twice.
 #[gtest]
 fn crash_counts_once() {
-    let mut one = seen(&[0, 0, 1]);
-    for entry in all(&seen(&[1, 0]), START) {
+    let mut one = observed(&[0, 0, 1]);
+    for entry in all(&observed(&[1, 0]), START) {
         one.merge(&entry, START);
         one.merge(&entry, START);
     }
@@ -71,11 +71,11 @@
     expect_that!(status.may_repeat(), eq(false));
 }
 
-/// Each of three instances saw one of the crashes.
+/// Each of three instances observed one of the crashes.
 #[gtest]
 fn crashes_add_up() {
-    let mut one = seen(&[0]);
-    for other in [seen(&[1]), seen(&[2])] {
+    let mut one = observed(&[0]);
+    for other in [observed(&[1]), observed(&[2])] {
         for entry in all(&other, START) {
             one.merge(&entry, START);
         }
@@ -83,10 +83,10 @@
     expect_that!(one.status(&request(0), START), eq(Status::Refused));
 }
 
-/// A success proves that the request need not crash what runs it; what was seen before says nothing then.
+/// A success shows that the request does not necessarily crash the endpoint, so earlier crashes no longer count.
 #[gtest]
 fn success_resets() {
-    let mut one = seen(&[0, 1, 2]);
+    let mut one = observed(&[0, 1, 2]);
     let before = all(&one, START);
     let (change, _) = one
         .reset(&request(0), START)
@@ -100,8 +100,8 @@
 }
 
 #[gtest]
-fn entries_lapse() {
-    let mut one = seen(&[0, 1]);
+fn entries_expire() {
+    let mut one = observed(&[0, 1]);
     one.record_crash(request(1), crash(7), START);
     one.record_crash(request(0), crash(2), after(10));
     let day = 24 * 60 * 60;
@@ -118,34 +118,37 @@
     expect_that!(one.is_empty(), eq(true));
 }
 
-/// An instance that has just started hears of what happened long before it did.
+/// An instance that has just started receives entries of crashes that happened long before, with their age.
 #[gtest]
-fn age_is_told() {
-    let one = seen(&[0, 1, 2]);
-    let mut young = Quarantine::default();
+fn age_is_preserved() {
+    let one = observed(&[0, 1, 2]);
+    let mut recent = Quarantine::default();
     for entry in all(&one, after(80_000)) {
-        young.merge(&entry, after(1));
+        recent.merge(&entry, after(1));
     }
-    expect_that!(young.status(&request(0), after(6_000)), eq(Status::Refused));
-    expect_that!(young.status(&request(0), after(6_401)), eq(Status::Clear));
+    expect_that!(
+        recent.status(&request(0), after(6_000)),
+        eq(Status::Refused)
+    );
+    expect_that!(recent.status(&request(0), after(6_401)), eq(Status::Clear));
     let mut old = Quarantine::default();
     for entry in all(&one, after(90_000)) {
         expect_that!(old.merge(&entry, after(1)), eq(Change::Unchanged));
     }
 }
 
-/// Two instances compare what they hold and tell each other what differs.
+/// Two instances that compare their digests and exchange the differing entries end up with the same entries.
 #[gtest]
-fn differences_are_told() {
+fn differing_entries_are_exchanged() {
     let mut one = Quarantine::default();
     let mut other = Quarantine::default();
     for number in 0..200 {
-        let keeper = if number % 3 == 0 {
+        let observer = if number % 3 == 0 {
             &mut other
         } else {
             &mut one
         };
-        keeper.record_crash(request(number), crash(number), START);
+        observer.record_crash(request(number), crash(number), START);
     }
     let (of_one, of_other) = (one.digests(), other.digests());
     let to_other = one.differing(&of_other, START);
@@ -159,10 +162,10 @@
     expect_that!(one.differing(&other.digests(), START), is_empty());
 }
 
-/// A caller who has thousands of requests under way where endpoints end pushes out no diagnosis.
+/// A caller with thousands of requests in flight at crashing endpoints does not evict refused requests.
 #[gtest]
-fn room_is_bounded() {
-    let mut one = seen(&[0, 1, 2]);
+fn entry_count_is_bounded() {
+    let mut one = observed(&[0, 1, 2]);
     for number in 1..6_000 {
         one.record_crash(request(number), crash(number), START);
     }
@@ -170,41 +173,41 @@
     expect_that!(one.status(&request(0), START), eq(Status::Refused));
 }
 
-/// What a message of another build may hold.
+/// Another build may send an entry with too many, unsorted or duplicate crashes.
 #[gtest]
-fn odd_entries_are_put_right() {
+fn malformed_entries_are_normalised() {
     let mut crashes: Vec<Crash> = (0..9).map(crash).collect();
     crashes.push(crash(0));
-    let odd = Entry {
+    let malformed = Entry {
         fingerprint: request(0),
         resets: 2,
         crashes,
         age_s: 0,
     };
     let mut one = Quarantine::default();
-    one.merge(&odd, START);
-    let kept = all(&one, START);
-    expect_that!(kept[0].crashes.len(), eq(3));
-    expect_that!(kept[0].crashes.is_sorted(), eq(true));
+    one.merge(&malformed, START);
+    let entries = all(&one, START);
+    expect_that!(entries[0].crashes.len(), eq(3));
+    expect_that!(entries[0].crashes.is_sorted(), eq(true));
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Seen {
+enum Observation {
     Crash { request: usize, crash: usize },
     Success { request: usize },
 }
 
-fn history() -> impl Strategy<Value = Vec<(usize, Seen)>> {
-    let seen = prop_oneof![
-        4 => (0..3_usize, 0..6_usize).prop_map(|(request, crash)| Seen::Crash { request, crash }),
-        1 => (0..3_usize).prop_map(|request| Seen::Success { request }),
+fn history() -> impl Strategy<Value = Vec<(usize, Observation)>> {
+    let observed = prop_oneof![
+        4 => (0..3_usize, 0..6_usize).prop_map(|(request, crash)| Observation::Crash { request, crash }),
+        1 => (0..3_usize).prop_map(|request| Observation::Success { request }),
     ];
-    prop::collection::vec((0..4_usize, seen), 0..40)
+    prop::collection::vec((0..4_usize, observed), 0..40)
 }
 
-/// Each piece of news reaches the others in an order of its own, some of it twice, some much later.
+/// Updates reach each instance in a different order, some twice and some much later.
 #[gtest]
-fn all_agree() {
+fn instances_converge() {
     let mut runner = TestRunner::new(Config {
         cases: 400,
         failure_persistence: None,
@@ -213,33 +216,40 @@
     let result = runner.run(&(history(), any::<u64>()), |(history, seed)| {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut instances: Vec<Quarantine> = (0..4).map(|_| Quarantine::default()).collect();
-        let mut news = Vec::new();
-        for (at, seen) in history {
+        let mut updates = Vec::new();
+        for (at, observed) in history {
             let instance = &mut instances[at];
-            match seen {
-                Seen::Crash {
+            match observed {
+                Observation::Crash {
                     request: number,
-                    crash: end,
+                    crash: crash_number,
                 } => {
-                    news.push(instance.record_crash(request(number), crash(end), START).1);
+                    updates.push(
+                        instance
+                            .record_crash(request(number), crash(crash_number), START)
+                            .1,
+                    );
                 }
-                Seen::Success { request: number } => {
-                    news.extend(
+                Observation::Success { request: number } => {
+                    updates.extend(
                         instance
                             .reset(&request(number), START)
                             .map(|(_, entry)| entry),
                     );
                 }
             }
-            if let Some(entry) = news.get(random.random_range(0..news.len().max(1))).cloned() {
+            if let Some(entry) = updates
+                .get(random.random_range(0..updates.len().max(1)))
+                .cloned()
+            {
                 instances[random.random_range(0..4)].merge(&entry, START);
             }
         }
         for instance in &mut instances {
-            let mut late = news.clone();
-            late.extend(news.iter().take(5).cloned());
-            late.shuffle(&mut random);
-            for entry in &late {
+            let mut shuffled = updates.clone();
+            shuffled.extend(updates.iter().take(5).cloned());
+            shuffled.shuffle(&mut random);
+            for entry in &shuffled {
                 instance.merge(entry, START);
             }
         }
@@ -251,26 +261,30 @@
     expect_that!(result, ok(anything()));
 }
 
-/// The share of requests that are refused though they end nothing, where their endpoint ends for another
-/// cause in one of `odds` runs and callers try three times: computed, one in the third power of it.
+/// The fraction of requests that are refused although they crash nothing, when endpoints crash for another reason in
+/// one of `crash_odds` runs and callers try three times. The expected value is one in the third power of `crash_odds`.
 #[gtest]
-fn few_bystanders_are_refused() {
-    for (odds, most) in [(10, 1.4e-3), (40, 4.0e-5)] {
-        let mut random = SmallRng::seed_from_u64(odds);
+fn innocent_requests_are_rarely_refused() {
+    for (crash_odds, max_ratio) in [(10, 1.4e-3), (40, 4.0e-5)] {
+        let mut random = SmallRng::seed_from_u64(crash_odds);
         let (requests, mut refused) = (200_000, 0);
         for number in 0..requests {
             let mut quarantine = Quarantine::default();
             for run in 0..3 {
-                if random.random_range(0..odds) == 0 {
+                if random.random_range(0..crash_odds) == 0 {
                     quarantine.record_crash(request(number), crash(run), START);
                 } else {
-                    // A success, after which the caller does not ask again.
+                    // The request succeeded, so the caller does not retry.
                     quarantine.reset(&request(number), START);
                     break;
                 }
             }
             refused += quarantine.refused();
         }
-        expect_that!(refused as f64 / requests as f64, le(most), "one in {odds}");
+        expect_that!(
+            refused as f64 / requests as f64,
+            le(max_ratio),
+            "one in {crash_odds}"
+        );
     }
 }
--- a/crates/ploverwick_quarantine/tests/same_request.rs
+++ b/crates/ploverwick_quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same, and what processes agree on.
+//! Identity of requests, and the formats of the identifiers that processes exchange.
 
 use googletest::prelude::*;
 use ploverwick_quarantine::{Crash, Fingerprint};
@@ -7,9 +7,9 @@
     Fingerprint::of(parts.iter().map(|part| part.as_bytes()))
 }
 
-/// Instances of different builds compare fingerprints, and operators keep them.
+/// The formats must not change, because instances of different builds compare the identifiers and operators store them.
 #[gtest]
-fn form_is_pinned() {
+fn format_is_stable() {
     let fingerprint = of(&["POST", "a.example", "/live/", "body"]);
     let text = "8dee78ecb58668d5c27f54d3ab7e4c81";
     expect_that!(fingerprint.to_string(), eq(text));
@@ -18,9 +18,9 @@
     expect_that!(Crash::of("i-1").to_string(), eq("c5c0a85ae4fc3529"));
 }
 
-/// A byte from one part to the next makes another request.
+/// Moving a byte from one part to the next changes the fingerprint.
 #[gtest]
-fn ends_matter() {
+fn part_boundaries_matter() {
     let parts = [["ab", "c"], ["a", "bc"], ["abc", ""], ["", "abc"]];
     for (at, one) in parts.iter().enumerate() {
         for other in &parts[at + 1..] {
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn other_texts_are_none() {
+fn invalid_texts_are_rejected() {
     for text in [
         "",
         "12",
