--- a/crates/ploverwick_quota/src/allocation.rs
+++ b/crates/ploverwick_quota/src/allocation.rs
@@ -340,16 +340,16 @@
             }
             ShareState::Reclaiming { until, .. } if until <= now => {
                 self.share_state = ShareState::Held { since: now };
-                self.lend_share(pools, now, now);
+                self.lease_share(pools, now, now);
             }
-            ShareState::Held { since } => self.lend_share(pools, since, now),
+            ShareState::Held { since } => self.lease_share(pools, since, now),
             ShareState::Leased { .. } | ShareState::Reclaiming { .. } => {}
         }
     }
 
     /// Leases the share to the best pool, or to this instance itself if no candidate has answered within
     /// [`SELF_POOL_DELAY`] of `since`.
-    fn lend_share(&mut self, pools: &[IpAddr], since: Moment, now: Moment) {
+    fn lease_share(&mut self, pools: &[IpAddr], since: Moment, now: Moment) {
         let is_alone = now.since(since) >= SELF_POOL_DELAY;
         let pool = self.best_pool(pools, now);
         if let Some(pool) = pool.or_else(|| is_alone.then_some(self.own)) {
--- a/crates/ploverwick_quota/src/lib.rs
+++ b/crates/ploverwick_quota/src/lib.rs
@@ -26,7 +26,7 @@
 pub use pool::Pool;
 
 /// The interval at which an instance renews its lease when there are few instances. A shorter interval costs
-/// messages; a longer one leaves the shares of an instance that dies unused for longer.
+/// messages; a longer one leaves the share of an instance that fails unused for longer.
 const MIN_LEASE_INTERVAL: Duration = Duration::from_millis(150);
 /// How much each instance adds to the interval, so that a pool receives at most 500 leases a second until
 /// [`MAX_LEASE_INTERVAL`] is reached.
--- a/crates/ploverwick_quota/src/pool.rs
+++ b/crates/ploverwick_quota/src/pool.rs
@@ -72,7 +72,7 @@
     lenders: BTreeMap<IpAddr, Lender>,
     /// Leased share times seconds: half of a quota leased for two seconds counts as one.
     leased: SlidingWindow,
-    at: Moment,
+    accumulated_until: Moment,
     accounts: HashMap<Arc<str>, Account>,
 }
 
@@ -83,7 +83,7 @@
             window,
             lenders: BTreeMap::new(),
             leased: SlidingWindow::default(),
-            at: Moment(0),
+            accumulated_until: Moment(0),
             accounts: HashMap::new(),
         }
     }
@@ -171,11 +171,11 @@
     /// Accumulates the leased shares up to `now`, and removes the leases that have expired.
     fn advance_to(&mut self, now: Moment) {
         loop {
-            let ended = self
+            let expired = self
                 .lenders
                 .iter()
                 .filter(|(_, lender)| lender.until <= now);
-            let first = ended.min_by_key(|(_, lender)| lender.until);
+            let first = expired.min_by_key(|(_, lender)| lender.until);
             let Some((ip, until)) = first.map(|(ip, lender)| (*ip, lender.until)) else {
                 return self.accumulate(now);
             };
@@ -188,11 +188,11 @@
         let share = self.share();
         self.leased.evict(self.window, until);
         // A long pause is split by slot, so that each part of it leaves the window at its own time.
-        while self.at < until {
-            let next = SlidingWindow::end(self.at).min(until);
-            let seconds = next.since(self.at).as_secs_f64();
-            self.leased.add(share * seconds, self.at);
-            self.at = next;
+        while self.accumulated_until < until {
+            let next = SlidingWindow::end(self.accumulated_until).min(until);
+            let seconds = next.since(self.accumulated_until).as_secs_f64();
+            self.leased.add(share * seconds, self.accumulated_until);
+            self.accumulated_until = next;
         }
     }
 }
--- a/crates/ploverwick_quota/src/unspent.rs
+++ b/crates/ploverwick_quota/src/unspent.rs
@@ -22,8 +22,8 @@
         if units <= 0.0 {
             return;
         }
-        let place = self.lots.partition_point(|(at, _)| *at <= granted);
-        self.lots.insert(place, (granted, units));
+        let index = self.lots.partition_point(|(at, _)| *at <= granted);
+        self.lots.insert(index, (granted, units));
         self.sum += units;
     }
 
--- a/crates/ploverwick_quota/tests/pool_failure.rs
+++ b/crates/ploverwick_quota/tests/pool_failure.rs
@@ -104,10 +104,10 @@
 /// `LOST_POOL_HISTORIES` sets the number of sequences.
 #[gtest]
 fn random_failure_sequences() {
-    let histories = std::env::var("LOST_POOL_HISTORIES").ok();
-    let histories = histories.and_then(|text| text.parse().ok()).unwrap_or(12);
+    let sequences = std::env::var("LOST_POOL_HISTORIES").ok();
+    let sequences = sequences.and_then(|text| text.parse().ok()).unwrap_or(12);
     let mut max_fill: f64 = 0.0;
-    for seed in 0..histories {
+    for seed in 0..sequences {
         let mut random = StdRng::seed_from_u64(seed);
         let size = [6, 20, 74][seed as usize % 3];
         let sharing = if seed % 10 == 9 {
@@ -137,7 +137,7 @@
             "seed {seed}, {size} instances"
         );
     }
-    println!("{histories} histories: fullest window {max_fill:.3}");
+    println!("{sequences} sequences: fullest window {max_fill:.3}");
 }
 
 /// No window exceeds the allowance when the pool or all instances fail under normal load. Prints the fraction of the
