--- a/crates/ploverwick_gateway/src/controllers/freshness.rs
+++ b/crates/ploverwick_gateway/src/controllers/freshness.rs
@@ -9,7 +9,7 @@
 
 use ploverwick_names::Moment;
 use ploverwick_platform::OPERATOR;
-use ploverwick_topics::freshness::{Need, Statement};
+use ploverwick_topics::freshness::{Action, Proof};
 use ploverwick_topics::{Position, Reading};
 
 use crate::mail::{Message, Question};
@@ -41,19 +41,19 @@
             let state = shared.state();
             let rank = state.rank(&shared.settings, now);
             (
-                state.freshness.need(rank, bound, now),
+                state.freshness.next_action(rank, bound, now),
                 state.freshness.age(now),
             )
         };
         metrics::configuration_age(age);
         match need {
-            Need::Nothing { until } => {
+            Action::Idle { until } => {
                 let until = shared.clock.instant(until.min(now + IDLE));
                 tokio::time::sleep_until(until).await;
             }
-            Need::AskNear => ask(&shared, false, now),
-            Need::AskAll => ask(&shared, true, now),
-            Need::Read => read(&shared, bound, now).await,
+            Action::AskDomain => ask(&shared, false, now),
+            Action::AskAllDomains => ask(&shared, true, now),
+            Action::ReadStore => read(&shared, bound, now).await,
         }
     }
 }
@@ -69,7 +69,7 @@
 /// Asks peers that read the store for a proof.
 fn ask(shared: &Shared, of_all_domains: bool, now: Moment) {
     let mut state = shared.state();
-    state.freshness.asks(now);
+    state.freshness.record_ask(now);
     let to = readers(shared, &state, of_all_domains, now);
     drop(state);
     let question = shared.question(now);
@@ -97,7 +97,7 @@
 async fn read(shared: &Shared, bound: Duration, now: Moment) {
     let from = {
         let mut state = shared.state();
-        state.freshness.reads(now);
+        state.freshness.record_read(now);
         state.stands.of(Topic::Operator).end
     };
     let reading = shared.store.read(OPERATOR, from, Duration::ZERO);
@@ -113,8 +113,8 @@
         }
     };
     let mut state = shared.state();
-    state.freshness.answered();
-    state.freshness.stated(Statement::new(end, now));
+    state.freshness.record_answer();
+    state.freshness.add_proof(Proof::new(end, now));
     drop(state);
     // Whoever is behind reads on.
     shared.inboxes.of(Topic::Operator).hear_end(end);
@@ -123,7 +123,7 @@
 /// Answers a peer's question.
 pub(crate) fn answer(shared: &Shared, to: IpAddr, question: Question) {
     let now = shared.now();
-    let Some(proven) = shared.state().freshness.proven() else {
+    let Some(proven) = shared.state().freshness.proof() else {
         return;
     };
     let age = proven.age(now).as_millis();
@@ -141,7 +141,7 @@
     if !shared.asked(question) {
         return;
     }
-    let statement = Statement::aged(end, question.at, age);
-    shared.state().freshness.stated(statement);
+    let statement = Proof::with_age(end, question.at, age);
+    shared.state().freshness.add_proof(statement);
     shared.inboxes.of(Topic::Operator).hear_end(end);
 }
--- a/crates/ploverwick_gateway/src/controllers/topic.rs
+++ b/crates/ploverwick_gateway/src/controllers/topic.rs
@@ -4,8 +4,8 @@
 
 use ploverwick_adapters::Since;
 use ploverwick_platform::store::{Error, Record};
-use ploverwick_topics::freshness::Statement;
-use ploverwick_topics::{Circle, Feed, Fit, Position, Reading, Step};
+use ploverwick_topics::freshness::Proof;
+use ploverwick_topics::{Fit, Position, Reading, Role, Step, Subscription};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::feed::{self, News};
@@ -31,7 +31,7 @@
     shared: &'a Shared,
     topic: Topic,
     feed: feed::Feed<'a>,
-    place: Feed,
+    place: Subscription,
     /// Whether peers are still to be asked what the topic holds.
     asks_peers: bool,
     /// Whether the last read failed, so that the next one must prove that the store is back.
@@ -52,7 +52,7 @@
         shared,
         topic,
         feed,
-        place: Feed::new(chance(&shared.settings.instance), shared.now()),
+        place: Subscription::new(chance(&shared.settings.instance), shared.now()),
         asks_peers: true,
         has_failed: false,
         take,
@@ -67,7 +67,7 @@
             }
             Err(Error::Expired) => {
                 spdlog::info!("history_lost topic={}", feed.topic);
-                follower.place.lose();
+                follower.place.reset();
             }
             Err(Error::Restored) => {
                 spdlog::info!(
@@ -75,7 +75,7 @@
                     feed.topic,
                     shared.store.era()
                 );
-                follower.place.lose();
+                follower.place.reset();
             }
             Err(error) => {
                 outage.fails(&error);
@@ -102,11 +102,11 @@
         let now = self.shared.now();
         self.hear();
         let inbox = self.shared.inboxes.of(self.topic);
-        self.place.hear_end(*inbox.end.borrow(), now);
+        self.place.observe_end(*inbox.end.borrow(), now);
         let circle = self.shared.circle(self.topic);
         match self.place.step(circle, now) {
-            Step::Rest { until } => {
-                if circle != Circle::Reads && !self.has_failed {
+            Step::Idle { until } => {
+                if circle != Role::Reader && !self.has_failed {
                     self.stand(Reading::Rests);
                 }
                 let until = self.shared.clock.instant(until);
@@ -140,9 +140,9 @@
     /// Reads once; `from` is `None` for the whole topic.
     async fn read(&mut self, from: Option<Position>, wait: Duration) -> Result<Done, Error> {
         let (shared, topic) = (self.shared, self.topic);
-        let is_reader = shared.circle(topic) == Circle::Reads;
+        let is_reader = shared.circle(topic) == Role::Reader;
         let asked = shared.now();
-        self.place.ask(asked);
+        self.place.start_read(asked);
         if !wait.is_zero() {
             self.stand(Reading::Reads);
         }
@@ -168,10 +168,10 @@
             }
         };
         let next = feed::read(shared, &self.feed, from, wait, &mut take).await?;
-        self.place.read(next);
+        self.place.finish_read(next);
         if topic == Topic::Operator {
-            let statement = Statement::new(next, asked);
-            shared.state().freshness.stated(statement);
+            let statement = Proof::new(next, asked);
+            shared.state().freshness.add_proof(statement);
         }
         shared.inboxes.of(topic).correct(next);
         self.has_failed = false;
@@ -190,7 +190,7 @@
     fn hear(&mut self) {
         let now = self.shared.now();
         while let Some(batch) = self.shared.inboxes.of(self.topic).pop() {
-            let fit = self.place.hear(batch.from, batch.next, now);
+            let fit = self.place.receive(batch.from, batch.next, now);
             spdlog::info!(
                 "topic_told topic={} from={} next={} fit={:?}",
                 self.topic.name(),
@@ -215,7 +215,7 @@
         self.shared.inboxes.of(self.topic).keep(&records, true);
         let age = whole.age_ms.map(Duration::from_millis);
         self.shared.state().horizon.told(age);
-        self.place.read(whole.end);
+        self.place.finish_read(whole.end);
         self.stand(Reading::Rests);
     }
 
@@ -235,7 +235,7 @@
     }
 
     fn fail(&mut self) {
-        self.place.fail();
+        self.place.record_failure();
         self.has_failed = true;
         // An instance that starts while the store is away serves by what its peers know.
         self.asks_peers = true;
@@ -251,7 +251,7 @@
         let before = state.stands.of(self.topic);
         state.stands.set(self.topic, stand);
         if self.topic == Topic::Operator {
-            state.freshness.known(end);
+            state.freshness.advance(end);
         }
         drop(state);
         if before.reading != reading {
--- a/crates/ploverwick_gateway/src/mail.rs
+++ b/crates/ploverwick_gateway/src/mail.rs
@@ -12,7 +12,7 @@
 use ploverwick_quarantine::PARTS;
 use ploverwick_quota::{Grant, Lease};
 use ploverwick_topics::Position;
-use ploverwick_topics::parts::{self, Assembly};
+use ploverwick_topics::parts::{self, Reassembler};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
@@ -244,7 +244,7 @@
     socket: UdpSocket,
     /// The port of all instances.
     port: u16,
-    parts: Mutex<Assembly>,
+    parts: Mutex<Reassembler>,
 }
 
 impl Mail {
@@ -261,7 +261,7 @@
     /// Sends a message to instances.
     pub(crate) fn send(&self, message: &Message, to: &[IpAddr]) {
         let bytes = match postcard::to_stdvec(message) {
-            Ok(bytes) if bytes.len() <= parts::LONGEST => bytes,
+            Ok(bytes) if bytes.len() <= parts::MAX_MESSAGE_BYTES => bytes,
             Ok(bytes) => {
                 spdlog::warn!("message_too_long bytes={}", bytes.len());
                 return;
@@ -274,7 +274,7 @@
         if bytes.len() <= DATAGRAM {
             return self.send_datagram(&bytes, to);
         }
-        for part in parts::cut(&bytes, DATAGRAM) {
+        for part in parts::split(&bytes, DATAGRAM) {
             self.send_datagram(&part, to);
         }
     }
@@ -305,7 +305,7 @@
                 .parts
                 .lock()
                 .expect("no holder of the lock panics")
-                .take(datagram, from.ip())?;
+                .add_part(datagram, from.ip())?;
             return decode(&whole, from);
         }
         decode(datagram, from)
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -13,7 +13,7 @@
 use ploverwick_platform::settings::Settings;
 use ploverwick_platform::store::Store;
 use ploverwick_routes::Config;
-use ploverwick_topics::Circle;
+use ploverwick_topics::Role;
 use tokio::sync::{Notify, watch};
 
 use crate::clock::Clock;
@@ -193,21 +193,21 @@
 
     /// Returns what this instance is to the peers of its failure domain for a topic of the store. Whoever
     /// places adapters reads itself, as other failure domains hear of the topics' ends from it.
-    pub(crate) fn circle(&self, topic: Topic) -> Circle {
+    pub(crate) fn circle(&self, topic: Topic) -> Role {
         let now = self.now();
         let state = self.state();
         if state.tenure.is_held(now) {
-            return Circle::Reads;
+            return Role::Reader;
         }
         let peers = state.peers.iter().filter(|(_, peer)| {
             let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
             is_heard && peer.domain == self.settings.domain
         });
         let peers = peers.map(|(name, peer)| ploverwick_topics::Peer {
-            place: peer.place(name),
+            candidate: peer.place(name),
             reading: peer.stands.of(topic).reading,
         });
-        ploverwick_topics::circle(place(&self.settings), peers)
+        ploverwick_topics::role(place(&self.settings), peers)
     }
 
     /// Takes a repeat of a request out of its service's budget; `false` if there is none left.
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -16,7 +16,7 @@
 use ploverwick_quota::{Allocation, Pool};
 use ploverwick_routes::Config;
 use ploverwick_table::Table;
-use ploverwick_topics::Place;
+use ploverwick_topics::Candidate;
 use ploverwick_topics::freshness::Freshness;
 
 use crate::lives::Lives;
@@ -47,8 +47,8 @@
 
 impl Peer {
     /// Returns its place among the instances of its failure domain.
-    pub(crate) fn place<'a>(&self, name: &'a str) -> Place<'a> {
-        Place {
+    pub(crate) fn place<'a>(&self, name: &'a str) -> Candidate<'a> {
+        Candidate {
             capacity: self.capacity,
             name,
         }
@@ -56,8 +56,8 @@
 }
 
 /// Returns this instance's place among those of its failure domain.
-pub(crate) fn place(settings: &Settings) -> Place<'_> {
-    Place {
+pub(crate) fn place(settings: &Settings) -> Candidate<'_> {
+    Candidate {
         capacity: settings.capacity,
         name: &settings.instance,
     }
--- a/crates/ploverwick_gateway/src/tell/batches.rs
+++ b/crates/ploverwick_gateway/src/tell/batches.rs
@@ -10,7 +10,7 @@
 
 /// The bytes of records in one message, which is cut into as many datagrams as it needs. A configuration
 /// takes some kilobytes; longer records each instance reads itself.
-const LONGEST_BATCH: usize = parts::LONGEST - HEADS;
+const LONGEST_BATCH: usize = parts::MAX_MESSAGE_BYTES - HEADS;
 /// The bytes of a record's numbers and lengths in a message, and its part of the message's own: five
 /// numbers of up to ten bytes.
 const HEADS: usize = 50;
--- a/crates/ploverwick_topics/src/lib.rs
+++ b/crates/ploverwick_topics/src/lib.rs
@@ -1,17 +1,18 @@
-//! How instances follow the topics of a store through few readers.
+//! Follows the topics of a store with a few readers per failure domain.
 //!
-//! A record would wake a waiting read of every instance, and each of these reads is a call. So a few
-//! instances of each failure domain read, and tell the others by datagrams what came; whoever misses
-//! something reads it itself. Calls then grow with the failure domains and not with the instances.
+//! If every instance kept a long poll open, each record would cost one store call per instance. Instead, a
+//! few instances of each failure domain read the store and forward new records to the others in datagrams.
+//! An instance that misses a datagram reads the store itself. The number of store calls grows with the
+//! number of failure domains and not with the number of instances.
 //!
-//! Pure state: callers pass the time in, make the calls and carry the messages.
+//! This crate only keeps state: callers pass in the time, call the store and send the messages.
 
-mod circle;
-mod feed;
 pub mod freshness;
 pub mod parts;
 mod position;
+mod role;
+mod subscription;
 
-pub use circle::{Circle, Peer, Place, Reading, circle};
-pub use feed::{Feed, Fit, Step};
 pub use position::Position;
+pub use role::{Candidate, Peer, Reading, Role, role};
+pub use subscription::{Fit, Step, Subscription};
--- a/crates/ploverwick_topics/tests/revocation_histories.rs
+++ b/crates/ploverwick_topics/tests/revocation_histories.rs
@@ -7,7 +7,7 @@
 
 use googletest::prelude::*;
 use ploverwick_names::Moment;
-use ploverwick_topics::freshness::{Freshness, Need, Statement};
+use ploverwick_topics::freshness::{Action, Freshness, Proof};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -190,17 +190,20 @@
         let now = Moment(self.now - self.instances[index].began);
         let rank = index / DOMAINS;
         let bound = Duration::from_millis(BOUND);
-        match self.instances[index].freshness.need(rank, bound, now) {
-            Need::Nothing { .. } => {}
-            Need::Read => {
-                self.instances[index].freshness.reads(now);
+        match self.instances[index]
+            .freshness
+            .next_action(rank, bound, now)
+        {
+            Action::Idle { .. } => {}
+            Action::ReadStore => {
+                self.instances[index].freshness.record_read(now);
                 self.read(index, true);
             }
-            need @ (Need::AskNear | Need::AskAll) => {
-                self.instances[index].freshness.asks(now);
+            action @ (Action::AskDomain | Action::AskAllDomains) => {
+                self.instances[index].freshness.record_ask(now);
                 for to in 0..DOMAINS * 2 {
                     let is_near = to % DOMAINS == index % DOMAINS;
-                    if to != index && (is_near || need == Need::AskAll) {
+                    if to != index && (is_near || action == Action::AskAllDomains) {
                         self.ask(index, to, now.0);
                     }
                 }
@@ -280,7 +283,7 @@
             Event::Asked { to, from, life, at } => {
                 let instance = &self.instances[to];
                 let now = Moment(self.now - instance.began);
-                if let Some(proven) = instance.freshness.proven() {
+                if let Some(proven) = instance.freshness.proof() {
                     let age = proven.age(now).as_millis() as u64;
                     let end = proven.end.offset;
                     let answer = Event::Answered {
@@ -305,7 +308,7 @@
                     let age = Duration::from_millis(age);
                     instance
                         .freshness
-                        .stated(Statement::aged(end.into(), Moment(at), age));
+                        .add_proof(Proof::with_age(end.into(), Moment(at), age));
                     instance.hear_end(end, self.now);
                 }
             }
@@ -320,10 +323,10 @@
                 if instance.life != life {
                     return;
                 }
-                instance.freshness.answered();
+                instance.freshness.record_answer();
                 instance
                     .freshness
-                    .stated(Statement::new(end.into(), Moment(at)));
+                    .add_proof(Proof::new(end.into(), Moment(at)));
                 if is_proof && instance.next < end {
                     instance.hear_end(end, self.now);
                 } else {
@@ -354,7 +357,7 @@
     fn know(&mut self, end: u64) {
         self.next = self.next.max(end);
         self.behind = None;
-        self.freshness.known(self.next.into());
+        self.freshness.advance(self.next.into());
     }
 
     fn hear_end(&mut self, end: u64, now: u64) {
--- a/crates/ploverwick_topics/tests/feed_histories.rs
+++ b/crates/ploverwick_topics/tests/subscription_histories.rs
@@ -5,7 +5,7 @@
 
 use googletest::prelude::*;
 use ploverwick_names::Moment;
-use ploverwick_topics::{Circle, Feed, Fit, Peer, Place, Position, Reading, Step, circle};
+use ploverwick_topics::{Candidate, Fit, Peer, Position, Reading, Role, Step, Subscription, role};
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 
@@ -55,7 +55,7 @@
 struct Instance {
     name: String,
     domain: usize,
-    feed: Feed,
+    subscription: Subscription,
     /// The write times of the records that it has read or was told of.
     known_records: BTreeSet<u64>,
     reading: Reading,
@@ -70,9 +70,9 @@
 }
 
 /// One in twelve has more of a processor than the others.
-fn place(instance: &Instance) -> Place<'_> {
+fn candidate(instance: &Instance) -> Candidate<'_> {
     let is_large = instance.name.ends_with('7');
-    Place {
+    Candidate {
         capacity: if is_large { 500 } else { 120 },
         name: &instance.name,
     }
@@ -103,7 +103,7 @@
             .map(|n| Instance {
                 name: format!("i{n:03}"),
                 domain: n % domains,
-                feed: Feed::new(random.random_range(0.0..1.0), Moment(0)),
+                subscription: Subscription::new(random.random_range(0.0..1.0), Moment(0)),
                 known_records: BTreeSet::new(),
                 reading: Reading::Rests,
                 heard: BTreeMap::new(),
@@ -166,33 +166,33 @@
             match mail {
                 Mail::Status { from, end, reading } => {
                     instance.heard.insert(from, (now, reading));
-                    instance.feed.hear_end(end, Moment(now));
+                    instance.subscription.observe_end(end, Moment(now));
                 }
-                Mail::End(end) => instance.feed.hear_end(end, Moment(now)),
+                Mail::End(end) => instance.subscription.observe_end(end, Moment(now)),
                 Mail::Records {
                     from,
                     next,
                     written,
                 } => {
-                    let fit = instance.feed.hear(from, next, Moment(now));
+                    let fit = instance.subscription.receive(from, next, Moment(now));
                     if fit == Fit::Next {
                         instance.known_records.extend(written);
                     }
-                    assert!(fit != Fit::Next || instance.feed.next() == Some(next));
+                    assert!(fit != Fit::Next || instance.subscription.next() == Some(next));
                 }
             }
         }
     }
 
-    fn circle(&self, own: usize) -> Circle {
+    fn role(&self, own: usize) -> Role {
         let instance = &self.instances[own];
         let heard = instance.heard.iter();
         let heard = heard.filter(|(_, (at, _))| self.now - at <= HEARD);
         let peers = heard.map(|(peer, (_, reading))| Peer {
-            place: place(&self.instances[*peer]),
+            candidate: candidate(&self.instances[*peer]),
             reading: *reading,
         });
-        circle(place(instance), peers)
+        role(candidate(instance), peers)
     }
 
     /// Begins or ends the call of an instance.
@@ -208,10 +208,10 @@
         if self.instances[own].retry_at > now {
             return;
         }
-        let circle = self.circle(own);
-        let call = match self.instances[own].feed.step(circle, Moment(now)) {
-            Step::Rest { .. } => {
-                if circle != Circle::Reads {
+        let role = self.role(own);
+        let call = match self.instances[own].subscription.step(role, Moment(now)) {
+            Step::Idle { .. } => {
+                if role != Role::Reader {
                     self.instances[own].reading = Reading::Rests;
                 }
                 return;
@@ -224,7 +224,7 @@
         };
         self.calls += 1;
         let instance = &mut self.instances[own];
-        instance.feed.ask(Moment(now));
+        instance.subscription.start_read(Moment(now));
         if matches!(call, Call::On { waits: true, .. }) {
             instance.reading = Reading::Reads;
         }
@@ -239,7 +239,7 @@
             if now >= asked + SILENT && now + SILENT <= instance.cut_until + SILENT {
                 instance.call = None;
                 instance.reading = Reading::Fails;
-                instance.feed.fail();
+                instance.subscription.record_failure();
                 instance.retry_at = now + 300;
             }
             return;
@@ -247,11 +247,11 @@
         match call {
             Call::All => {
                 instance.known_records.extend(&self.records);
-                instance.feed.read(end);
+                instance.subscription.finish_read(end);
                 instance.call = None;
             }
             Call::On { from, .. } if from.era < end.era || from > end => {
-                instance.feed.lose();
+                instance.subscription.reset();
                 instance.call = None;
             }
             Call::On { from, waits, until } => {
@@ -260,7 +260,7 @@
                 }
                 let written = self.records[from.offset as usize..].to_vec();
                 instance.known_records.extend(&written);
-                instance.feed.read(end);
+                instance.subscription.finish_read(end);
                 instance.call = None;
                 instance.reading = if waits {
                     Reading::Reads
@@ -292,7 +292,7 @@
             return;
         }
         let (domain, reading) = (instance.domain, instance.reading);
-        let Some(end) = instance.feed.next() else {
+        let Some(end) = instance.subscription.next() else {
             return;
         };
         if now.is_multiple_of(STATUS) {
@@ -334,7 +334,7 @@
         match kind {
             0 => {
                 instance.runs_from = now + lasts;
-                instance.feed = Feed::new(chance, Moment(now + lasts));
+                instance.subscription = Subscription::new(chance, Moment(now + lasts));
                 instance.known_records.clear();
                 instance.heard.clear();
                 instance.call = None;
@@ -433,7 +433,7 @@
         }
         // They started before.
         for instance in &mut world.instances {
-            instance.feed.read(0.into());
+            instance.subscription.finish_read(0.into());
         }
         world.play(0.0, 1_700);
         expect_that!(world.late, le(BOUND), "seed {seed}");
@@ -446,7 +446,7 @@
     let calls = |each: usize| {
         let mut world = World::new(3, each, 3);
         for instance in &mut world.instances {
-            instance.feed.read(0.into());
+            instance.subscription.finish_read(0.into());
             instance.cut_until = END;
             instance.sound_since = END;
         }
