--- a/crates/ploverwick_bench/src/decide.rs
+++ b/crates/ploverwick_bench/src/decide.rs
@@ -28,7 +28,7 @@
             times,
             || {
                 let key = KeyDigest::of(black_box(b"asnmgkcuyj8pjbvk9m68"));
-                black_box(organisations.holder(&key));
+                black_box(organisations.find_by_key(&key));
             },
         );
     }
@@ -85,7 +85,7 @@
     Quota {
         rate: 1e9,
         burst: 1e9,
-        unit: Unit::Tokens { plain: 200 },
+        unit: Unit::Tokens { default: 200 },
     }
 }
 
--- a/crates/ploverwick_gateway/src/controllers/operator.rs
+++ b/crates/ploverwick_gateway/src/controllers/operator.rs
@@ -109,7 +109,7 @@
     );
     let faults = config
         .organisations()
-        .map_or(&[][..], Organisations::faults);
+        .map_or(&[][..], Organisations::errors);
     for fault in faults {
         spdlog::error!("organisation_malformed cause=\"{}\"", fault);
     }
--- a/crates/ploverwick_gateway/src/controllers/quotas.rs
+++ b/crates/ploverwick_gateway/src/controllers/quotas.rs
@@ -132,7 +132,7 @@
 /// Grants what there is room for; nothing to an organisation that the configuration does not know, and all
 /// to one that has no quota any more.
 fn grant(state: &mut State, config: &Config, ask: &Ask, now: Moment) -> Option<Grant> {
-    let organisation = config.organisations()?.named(&ask.organisation)?;
+    let organisation = config.organisations()?.find_by_name(&ask.organisation)?;
     let Some(quota) = &organisation.quota else {
         let needs = ask.needs.iter().copied();
         return Some(Grant {
--- a/crates/ploverwick_gateway/src/filters/admit.rs
+++ b/crates/ploverwick_gateway/src/filters/admit.rs
@@ -53,7 +53,9 @@
         .map(http::uri::PathAndQuery::as_str);
     let target = target.and_then(|target| target.parse().ok());
     let deadline = received + patience;
-    let begin_by = route.silence.map_or(deadline, |silence| received + silence);
+    let begin_by = route
+        .event_timeout
+        .map_or(deadline, |silence| received + silence);
     let mut task = Task {
         terms: Terms::of(&route, caller.organisation()),
         caller,
--- a/crates/ploverwick_gateway/src/filters/identify.rs
+++ b/crates/ploverwick_gateway/src/filters/identify.rs
@@ -113,7 +113,7 @@
 /// Finds the holder of a key, or says why there is none.
 fn holder(config: &Config, key: KeyDigest) -> Result<Caller, &'static str> {
     let organisations = config.organisations();
-    let holder = organisations.and_then(|organisations| organisations.holder(&key));
+    let holder = organisations.and_then(|organisations| organisations.find_by_key(&key));
     match holder {
         Some(organisation) => Ok(Caller::Holder {
             key,
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -176,7 +176,7 @@
     /// before its client leaves. A connection may fall silent without a sign.
     fn pause_limit(&self) -> Instant {
         let may_go_on = self.events.is_some() && self.sent < self.task.route.max_attempts;
-        match self.task.route.silence {
+        match self.task.route.event_timeout {
             Some(silence) if may_go_on => {
                 let limit = Instant::now() + silence.mul_f64(PAUSE_SHARE);
                 limit.min(self.task.deadline)
--- a/crates/ploverwick_quota/tests/fleet/mod.rs
+++ b/crates/ploverwick_quota/tests/fleet/mod.rs
@@ -49,7 +49,7 @@
             quota: Quota {
                 rate: tokens,
                 burst: tokens,
-                unit: Unit::Tokens { plain: 200 },
+                unit: Unit::Tokens { default: 200 },
             },
             rate: tokens * asks / MEAN,
             reaches: None,
--- a/crates/ploverwick_quota/tests/wait_hints.rs
+++ b/crates/ploverwick_quota/tests/wait_hints.rs
@@ -97,7 +97,7 @@
         needs: vec![1],
         extra: 100,
     };
-    let grant = pool.ask(&one, &Quota::NOTHING, now);
+    let grant = pool.ask(&one, &Quota::ZERO, now);
     expect_that!(grant.units, eq(0));
     expect_that!(grant.wait_ms, gt(1_000));
 }
--- a/crates/ploverwick_routes/src/config.rs
+++ b/crates/ploverwick_routes/src/config.rs
@@ -1,4 +1,4 @@
-//! A whole configuration in one version.
+//! One version of a complete configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,47 +6,47 @@
 
 use crate::{Organisations, Route};
 
-/// A service behind the routes.
+/// A service that routes refer to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// The service's name.
     pub name: Arc<str>,
-    /// The most connections that one of its endpoints accepts from all callers together.
+    /// The maximum number of connections that one of its endpoints accepts from all callers together.
     pub max_connections: u32,
-    /// What its endpoints are, if they serve models.
+    /// The capacity of its endpoints, if they serve models.
     pub engine: Option<Engine>,
 }
 
-/// What the endpoints of a service that serves models can hold.
+/// The capacity of the endpoints of a service that serves models.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The requests in one batch.
+    /// The number of requests in one batch.
     pub slots: u32,
-    /// The memory for tokens of running requests and kept prompts.
+    /// The memory, in tokens, for running requests and cached prompts.
     pub token_capacity: u64,
-    /// The adapters that an endpoint may hold, those on their way included.
+    /// The number of adapters that an endpoint may hold, including those being loaded.
     pub adapter_slots: usize,
-    /// The loads of base models a second that the weight store allows over all endpoints.
+    /// The loads of base models per second that the weight store allows over all endpoints.
     pub loads_per_s: f64,
     /// The base models.
     pub models: Vec<Arc<str>>,
 }
 
-/// Bounds on what a client may send.
+/// Limits on what a client may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest header section in bytes.
+    /// The maximum length of the header section in bytes.
     pub header_bytes: usize,
-    /// The longest body in bytes.
+    /// The maximum length of the body in bytes.
     pub body_bytes: usize,
-    /// The longest time that a header section may take to arrive.
+    /// The maximum time in which the header section must arrive.
     pub header_timeout: Duration,
-    /// The longest time that a connection may stay idle.
+    /// The maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// Bounds that hold until a configuration names others.
+    /// Returns the limits that apply until a configuration sets others.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -57,12 +57,12 @@
     }
 }
 
-/// A configuration.
+/// A configuration, with routes indexed by host and services by name.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Config {
     /// The version; a later configuration has a higher one.
     pub version: u64,
-    /// Bounds on clients.
+    /// The limits on what clients may send.
     pub limits: Limits,
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, Service>,
@@ -70,7 +70,7 @@
 }
 
 impl Config {
-    /// Makes a configuration of its parts.
+    /// Creates a configuration without organisations.
     pub fn new(version: u64, limits: Limits, routes: Vec<Route>, services: Vec<Service>) -> Self {
         let mut by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -78,7 +78,7 @@
             by_host.entry(host).or_default().push(Arc::new(route));
         }
         for list in by_host.values_mut() {
-            // The longest prefix wins, so it stands first.
+            // Sorted by descending length, so that the first match is the longest.
             list.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let services = services
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Adds the organisations whose keys requests need.
+    /// Adds the organisations; requests then need one of their keys.
     #[must_use]
     pub fn with_organisations(mut self, organisations: Organisations) -> Self {
         self.organisations = Some(organisations);
@@ -108,7 +108,7 @@
 
     /// Finds the route for a host and a path; the longest matching prefix wins.
     ///
-    /// A port behind the host is ignored, as is the case of its letters.
+    /// The port and the letter case of the host are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
         let list = match self.routes.get(name) {
@@ -118,18 +118,18 @@
         list.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns whether an organisation has a quota.
+    /// Returns whether any organisation has a quota.
     pub fn has_quotas(&self) -> bool {
         let organisations = self.organisations.as_ref();
         organisations.is_some_and(|all| all.iter().any(|one| one.quota.is_some()))
     }
 
-    /// Returns a service.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Iterates over the services, in no order.
+    /// Iterates over the services in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
--- a/crates/ploverwick_routes/src/lib.rs
+++ b/crates/ploverwick_routes/src/lib.rs
@@ -1,12 +1,14 @@
-//! Routes, services and organisations that a configuration declares.
+//! The routes, services and organisations that a configuration declares.
 //!
-//! Pure data and the choice of a route for a host and path. Nothing here knows how a configuration
-//! travels or who wrote it.
+//! This crate holds the data and selects the route for a host and path. It does not depend on how a
+//! configuration is encoded or distributed.
 
 mod config;
 mod organisation;
 mod route;
 
 pub use config::{Config, Engine, Limits, Service};
-pub use organisation::{Declaration, Fault, KeyDigest, Organisation, Organisations, Quota, Unit};
+pub use organisation::{
+    Declaration, DeclarationError, KeyDigest, Organisation, Organisations, Quota, Unit,
+};
 pub use route::{Kind, Route, Share};
--- a/crates/ploverwick_routes/src/organisation.rs
+++ b/crates/ploverwick_routes/src/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: who calls, by which keys, and how much each may use.
+//! Organisations: their API keys, priorities and quotas.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -8,13 +8,13 @@
 
 /// The SHA-256 digest of an API key.
 ///
-/// Keys are kept and looked up by their digests alone: nothing that prints or tells a configuration can
-/// tell a key, and the time of a look-up depends on bits that no caller can choose.
+/// Only digests of keys are stored and looked up. Printing or sending a configuration therefore cannot leak a
+/// key, and the timing of a look-up depends on bits that no caller can choose.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digests a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -29,91 +29,95 @@
 /// What a quota counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
-    /// Each request counts as one.
+    /// Each request costs one unit.
     Requests,
-    /// A request counts as its tokens.
+    /// A request costs as many units as it states tokens.
     Tokens {
-        /// What a request counts as that states no tokens.
-        plain: u32,
+        /// The cost of a request that states no number of tokens.
+        default: u32,
     },
 }
 
-/// How much an organisation may use over all instances together.
+/// A rate limit for an organisation over all instances together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// Units a second, 0 or more. With a rate of 0 nothing may be used.
+    /// The units per second, 0 or more. A rate of 0 allows no requests.
     pub rate: f64,
-    /// Units that may be used at once besides, 0 or more.
+    /// The units that may be used at once in addition to the rate, 0 or more.
     pub burst: f64,
-    /// What is counted.
+    /// What the quota counts.
     pub unit: Unit,
 }
 
 impl Quota {
-    /// Lets nothing pass: the strictest reading of a quota that cannot be read.
-    pub const NOTHING: Self = Self {
+    /// Allows no requests. Used for a quota that cannot be parsed, since the strictest limit is the safe one.
+    pub const ZERO: Self = Self {
         rate: 0.0,
         burst: 0.0,
         unit: Unit::Requests,
     };
 
-    /// Returns what a request counts as; `tokens` is what it states, if it does.
+    /// Returns the cost of a request in units; `tokens` is the number of tokens that it states, if any.
     pub fn cost(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             Unit::Requests => 1,
-            Unit::Tokens { plain } => tokens.unwrap_or(plain),
+            Unit::Tokens { default } => tokens.unwrap_or(default),
         }
     }
 
-    /// Returns the quota that is kept where two are declared for one organisation.
+    /// Returns the quota that applies if two are declared for one organisation.
     fn stricter(self, other: Self) -> Self {
         if other.rate < self.rate { other } else { self }
     }
 }
 
-/// An organisation.
+/// An organisation with its priority and quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Organisation {
-    /// Its name, as endpoints get it.
+    /// Its name, as it is passed to endpoints.
     pub name: Arc<str>,
-    /// The rank of its requests, 0 first; goes before the route's.
+    /// The priority of its requests, 0 being the most urgent; overrides that of the route.
     pub priority: Option<u8>,
-    /// How much it may use; `None` for no bound.
+    /// Its quota; `None` for no limit.
     pub quota: Option<Quota>,
 }
 
-/// An organisation as it is declared.
+/// The declaration of an organisation in a configuration.
 #[derive(Debug, Clone)]
 pub struct Declaration {
     /// The organisation.
     pub organisation: Organisation,
-    /// Its keys.
+    /// The digests of its keys.
     pub keys: Vec<KeyDigest>,
 }
 
-/// What is wrong with a declaration; it names no key.
+/// An error in the declaration of an organisation. It never contains a key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    /// The name is missing, empty, or cannot be told to endpoints. No key of it is valid.
+pub enum DeclarationError {
+    /// The name is missing, empty, or cannot be passed to endpoints. None of its keys is valid.
     #[error(
-        "organisation number {0} has no name that endpoints can be told; its keys are not valid"
+        "the organisation at index {0} has no name that can be passed to endpoints; its keys are not valid"
+    )]
+    InvalidName(usize),
+    /// It is declared more than once. All its keys are valid, and the lowest quota applies.
+    #[error("organisation {0} is declared more than once; the lowest quota applies")]
+    Duplicate(Arc<str>),
+    /// A key is empty or not a string. That key is not valid.
+    #[error("organisation {0} has a key that is empty or not a string; the key is not valid")]
+    InvalidKey(Arc<str>),
+    /// Another organisation declares one of its keys. The key is valid for neither.
+    #[error(
+        "organisation {0} shares a key with another organisation; the key is valid for neither"
     )]
-    Nameless(usize),
-    /// It is declared more than once. All its keys are valid, and the lowest quota holds.
-    #[error("{0} is declared more than once; the lowest quota holds")]
-    Twice(Arc<str>),
-    /// A key is empty or no text. It is not valid.
-    #[error("{0} has a key that is empty or no text; it is not valid")]
-    Key(Arc<str>),
-    /// Another organisation has one of its keys. It is valid for neither.
-    #[error("{0} shares a key with another organisation; it is valid for neither")]
     SharedKey(Arc<str>),
-    /// Its quota cannot be read. Nothing may be used.
-    #[error("the quota of {0} cannot be read; nothing may be used until it is corrected")]
-    Quota(Arc<str>),
-    /// Its priority cannot be read. The route's holds.
-    #[error("the priority of {0} cannot be read; that of the route holds")]
-    Priority(Arc<str>),
+    /// Its quota cannot be parsed. All its requests are refused.
+    #[error(
+        "the quota of organisation {0} is invalid; all its requests are refused until it is corrected"
+    )]
+    InvalidQuota(Arc<str>),
+    /// Its priority cannot be parsed. That of the route applies.
+    #[error("the priority of organisation {0} is invalid; that of the route applies")]
+    InvalidPriority(Arc<str>),
 }
 
 /// All organisations of a configuration.
@@ -121,26 +125,26 @@
 pub struct Organisations {
     by_key: HashMap<KeyDigest, Arc<Organisation>>,
     by_name: HashMap<Arc<str>, Arc<Organisation>>,
-    faults: Vec<Fault>,
+    errors: Vec<DeclarationError>,
 }
 
 impl Organisations {
-    /// Makes a directory of declarations; `faults` are those that were found while they were read.
-    pub fn new(declarations: Vec<Declaration>, faults: Vec<Fault>) -> Self {
+    /// Indexes declarations by key and name; `errors` are those found while the declarations were parsed.
+    pub fn new(declarations: Vec<Declaration>, errors: Vec<DeclarationError>) -> Self {
         let mut all = Self {
-            faults,
+            errors,
             ..Self::default()
         };
         let mut keys: Vec<(KeyDigest, Arc<str>)> = Vec::new();
         for declaration in declarations {
             let name = Arc::clone(&declaration.organisation.name);
             keys.extend(declaration.keys.iter().map(|key| (*key, Arc::clone(&name))));
-            all.declare(declaration.organisation);
+            all.add(declaration.organisation);
         }
         let shared = shared_keys(&keys);
         for (key, name) in keys {
             if shared.contains(&key) {
-                all.fault(Fault::SharedKey(name));
+                all.add_error(DeclarationError::SharedKey(name));
             } else if let Some(organisation) = all.by_name.get(&name) {
                 all.by_key.insert(key, Arc::clone(organisation));
             }
@@ -148,7 +152,7 @@
         all
     }
 
-    fn declare(&mut self, mut organisation: Organisation) {
+    fn add(&mut self, mut organisation: Organisation) {
         let name = Arc::clone(&organisation.name);
         if let Some(earlier) = self.by_name.get(&name) {
             organisation.priority = earlier.priority.or(organisation.priority);
@@ -156,44 +160,44 @@
                 (Some(one), Some(other)) => Some(one.stricter(other)),
                 (one, other) => one.or(other),
             };
-            self.fault(Fault::Twice(Arc::clone(&name)));
+            self.add_error(DeclarationError::Duplicate(Arc::clone(&name)));
         }
         self.by_name.insert(name, Arc::new(organisation));
     }
 
-    fn fault(&mut self, fault: Fault) {
-        if !self.faults.contains(&fault) {
-            self.faults.push(fault);
+    fn add_error(&mut self, error: DeclarationError) {
+        if !self.errors.contains(&error) {
+            self.errors.push(error);
         }
     }
 
     /// Finds the organisation that holds a key.
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Organisation>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<Organisation>> {
         self.by_key.get(key)
     }
 
     /// Finds an organisation by its name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Organisation>> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Arc<Organisation>> {
         self.by_name.get(name)
     }
 
-    /// Iterates over the organisations, in no order.
+    /// Iterates over the organisations in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Organisation>> {
         self.by_name.values()
     }
 
-    /// Returns how many keys are valid.
-    pub fn keys(&self) -> usize {
+    /// Returns the number of valid keys.
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Returns what is wrong with the declarations.
-    pub fn faults(&self) -> &[Fault] {
-        &self.faults
+    /// Returns the errors in the declarations.
+    pub fn errors(&self) -> &[DeclarationError] {
+        &self.errors
     }
 }
 
-/// Returns the keys that more than one organisation holds.
+/// Returns the keys that more than one organisation declares.
 fn shared_keys(keys: &[(KeyDigest, Arc<str>)]) -> HashSet<KeyDigest> {
     let mut holders: HashMap<KeyDigest, &Arc<str>> = HashMap::new();
     let shared = keys.iter().filter(|(key, name)| {
--- a/crates/ploverwick_routes/tests/route_choice.rs
+++ b/crates/ploverwick_routes/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a route and of a service.
+//! Selects a route by host and path prefix, and a service by weight.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
         kind: Kind::Idempotent,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
-        silence: None,
+        event_timeout: None,
         max_attempts: 1,
         priority: 0,
         needs_key: true,
@@ -52,7 +52,7 @@
 }
 
 #[googletest::test]
-fn host_decides() {
+fn host_matches_without_case_or_port() {
     let config = config();
     expect_that!(config.route("c.example", "/x/1"), none());
     expect_that!(config.route("B.Example:8080", "/x/1"), some(anything()));
