--- a/crates/ploverwick_daemon/src/chain/read.rs
+++ b/crates/ploverwick_daemon/src/chain/read.rs
@@ -34,17 +34,17 @@
 /// Refuses a body that is too large, too slow or broken off.
 pub(crate) async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Verdict> {
     let limits = &node.settings.limits;
-    let read = ploverwick_serve::read(body, limits.body_bytes, limits.body_timeout());
+    let read = ploverwick_serve::read_body(body, limits.body_bytes, limits.body_timeout());
     read.await.map_err(|error| match error {
         ReadError::TooLarge => {
             let message = format!("the body has more than {} bytes", limits.body_bytes);
             refuse(Code::BodyTooLarge, message)
         }
-        ReadError::Slow => {
+        ReadError::Timeout => {
             let message = format!("no whole body within {} ms", limits.body_timeout_ms);
             refuse(Code::BodySlow, message)
         }
-        ReadError::Broken => refuse(Code::Cancelled, "the body broke off"),
+        ReadError::Disconnected => refuse(Code::Cancelled, "the body broke off"),
     })
 }
 
--- a/crates/ploverwick_daemon/src/daemon.rs
+++ b/crates/ploverwick_daemon/src/daemon.rs
@@ -13,7 +13,7 @@
 use ploverwick_owner::holds::Controller as Holds;
 use ploverwick_ports::client::Client;
 use ploverwick_ports::log::Log;
-use ploverwick_serve::{Bounds, Server, Stopper, stop};
+use ploverwick_serve::{Bounds, Server, StopGuard, stop_channel};
 use ploverwick_settings::Settings;
 use ploverwick_table::history::History;
 use ploverwick_timeline::clock::now_millis;
@@ -70,8 +70,8 @@
     peers: SocketAddr,
     admin: SocketAddr,
     entry: Server,
-    stop_entry: Stopper,
-    _stop_admin: Stopper,
+    stop_entry: StopGuard,
+    _stop_admin: StopGuard,
     tasks: JoinSet<()>,
     _ending: Ending,
 }
@@ -102,7 +102,7 @@
         let node = Arc::new(make_node(settings, peer_address));
         let mut tasks = JoinSet::new();
         serve_peers(&node, peers, &mut tasks);
-        let (stop_entry, stopped) = stop();
+        let (stop_entry, stopped) = stop_channel();
         let bounds = Bounds {
             connections: node.settings.limits.connections,
             ..Bounds::default()
@@ -113,7 +113,7 @@
         let fail = |address| move |cause| StartError { address, cause };
         let listen = node.settings.listen.clone();
         let entry = Server::start(callers, entry, bounds, stopped).map_err(fail(listen.callers))?;
-        let (stop_admin, stopped) = stop();
+        let (stop_admin, stopped) = stop_channel();
         let handler = Arc::new(Admin {
             node: Arc::clone(&node),
         });
--- a/crates/ploverwick_demo/src/run.rs
+++ b/crates/ploverwick_demo/src/run.rs
@@ -12,7 +12,7 @@
 use ploverwick_names::Offset;
 use ploverwick_operator::{Published, publish};
 use ploverwick_ports::client::Client;
-use ploverwick_serve::{Bounds, Handler, Reply, Server, Stopper, bytes, stop};
+use ploverwick_serve::{Bounds, Handler, Reply, Server, StopGuard, bytes, stop_channel};
 use ploverwick_table::{Table, parse};
 use ploverwick_timeline::view::{Filter, merge};
 use serde::Serialize;
@@ -217,7 +217,7 @@
 /// A page that is served until it is dropped.
 pub struct ServedPage {
     server: Server,
-    _stopper: Stopper,
+    _stopper: StopGuard,
 }
 
 impl ServedPage {
@@ -233,7 +233,7 @@
 /// Fails if no port can be listened on.
 pub async fn serve_timeline(fleet: Arc<Fleet>) -> Result<ServedPage> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-    let (stopper, stop) = stop();
+    let (stopper, stop) = stop_channel();
     let handler = Arc::new(TimelinePage { fleet });
     let server = Server::start(listener, handler, Bounds::default(), stop)?;
     Ok(ServedPage {
--- a/crates/ploverwick_names/src/id.rs
+++ b/crates/ploverwick_names/src/id.rs
@@ -22,11 +22,11 @@
 }
 
 ids! {
-    /// Tells two lives of one process apart: milliseconds since the Unix epoch at its start.
+    /// Distinguishes a process from its restarts: the milliseconds since the Unix epoch at its start.
     Incarnation;
-    /// Places a record in one stream of the platform's log.
+    /// The offset of a record in one stream of the platform's log.
     Offset;
-    /// Fences an owner's orders: the log offset of its claim. Higher is newer.
+    /// The fencing token of an owner's orders: the log offset of its claim. A higher token is newer.
     Token;
 }
 
--- a/crates/ploverwick_names/src/lib.rs
+++ b/crates/ploverwick_names/src/lib.rs
@@ -1,8 +1,7 @@
 //! Names and identifiers shared by every crate.
 //!
-//! Names are shared immutable strings: cloning one copies a pointer, so that a name can travel
-//! with each request, event and log line. Identifiers are newtypes, so that an offset is never
-//! mistaken for an incarnation.
+//! Names are shared immutable strings that are cheap to clone, so that each request, event and log line can
+//! carry them. Identifiers are newtypes, so that an offset cannot be mistaken for an incarnation.
 
 mod id;
 mod life;
@@ -15,6 +14,6 @@
 pub use model::{Model, ModelError, Variant};
 pub use moment::Moment;
 pub use name::{
-    Adapter, Base, Caller, Domain, Endpoint, Group, Hall, Instance, MAX_LEN, NameError, Request,
-    Version,
+    Adapter, Base, Caller, Domain, Endpoint, Group, Hall, Instance, MAX_NAME_BYTES, NameError,
+    Request, Version,
 };
--- a/crates/ploverwick_names/src/life.rs
+++ b/crates/ploverwick_names/src/life.rs
@@ -1,4 +1,4 @@
-//! One life of a daemon.
+//! Identifies one run of a daemon.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 
 use crate::{Incarnation, Instance};
 
-/// One life of the daemon on an instance. A restart gives a new life under the same name.
+/// One run of the daemon on an instance. A restart begins a new one under the same instance name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Life {
     /// The instance.
     pub instance: Instance,
-    /// Which of its lives; a later one is higher.
+    /// The incarnation of the daemon; a later run has a higher one.
     pub incarnation: Incarnation,
 }
 
--- a/crates/ploverwick_names/src/model.rs
+++ b/crates/ploverwick_names/src/model.rs
@@ -1,4 +1,4 @@
-//! What a caller's `model` field names.
+//! Parses the `model` field of a request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,9 +7,9 @@
 
 use crate::{Adapter, Base, NameError, Version};
 
-/// A model as a caller names it: `base:adapter@version`.
+/// A model reference in a request: `base:adapter@version`.
 ///
-/// The version may be missing, as in `llama:fr-grade`; the table may then pin one.
+/// The version is optional, as in `llama:fr-grade`; the table may then pin one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Model {
@@ -17,24 +17,24 @@
     pub base: Base,
     /// The adapter on top of the base model.
     pub adapter: Adapter,
-    /// The adapter's version, if named.
+    /// The adapter's version, if given.
     pub version: Option<Version>,
 }
 
-/// Says why a text does not name a model.
+/// The reason why a text is not a model reference.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ModelError {
     /// There was no `:` between base and adapter.
     #[error("model {0:?} lacks ':'; write base:adapter@version")]
     NoAdapter(String),
-    /// One of the parts was not a name.
+    /// One of the parts was not a valid name.
     #[error("model {text:?} has a bad {part}: {source}")]
     BadPart {
         /// The whole text.
         text: String,
         /// Which part was bad: `base`, `adapter` or `version`.
         part: &'static str,
-        /// The rule it breaks.
+        /// The rule that the part breaks.
         source: NameError,
     },
 }
@@ -91,7 +91,7 @@
     }
 }
 
-/// An adapter in one version, as it occupies a slot of an engine.
+/// A version of an adapter, which occupies one slot of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Variant {
     /// The adapter.
--- a/crates/ploverwick_names/src/name.rs
+++ b/crates/ploverwick_names/src/name.rs
@@ -1,4 +1,4 @@
-//! Validated names, each a shared immutable string.
+//! Validated names, stored as shared immutable strings.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -6,19 +6,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name accepted, in bytes.
-pub const MAX_LEN: usize = 128;
+/// The maximum length of a name in bytes.
+pub const MAX_NAME_BYTES: usize = 128;
 
-/// Says why a text is not a name.
+/// The reason why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
     /// The text was empty.
     #[error("a name is empty; give at least one character")]
     Empty,
-    /// The text was longer than [`MAX_LEN`] bytes.
-    #[error("a name has {0} bytes; the limit is {MAX_LEN}")]
+    /// The text was longer than [`MAX_NAME_BYTES`] bytes.
+    #[error("a name has {0} bytes; the limit is {MAX_NAME_BYTES}")]
     TooLong(usize),
-    /// The text held a character outside `a-z A-Z 0-9 . _ -`.
+    /// The text contained a character outside `a-z A-Z 0-9 . _ -`.
     #[error("character {0:?} is not allowed in a name; use letters, digits, '.', '_' and '-'")]
     BadChar(char),
 }
@@ -31,7 +31,7 @@
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > MAX_LEN {
+    if text.len() > MAX_NAME_BYTES {
         return Err(NameError::TooLong(text.len()));
     }
     match text.chars().find(|c| !is_name_char(*c)) {
@@ -52,7 +52,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `text` and makes a name of it.
+            /// Creates a name after validating `text`.
             ///
             /// # Errors
             /// Returns the rule that `text` breaks; see [`NameError`].
@@ -101,24 +101,24 @@
 }
 
 names! {
-    /// Names a `LoRA` adapter.
+    /// The name of a `LoRA` adapter.
     Adapter;
-    /// Names a version of an adapter.
+    /// The version of an adapter.
     Version;
-    /// Names a base model.
+    /// The name of a base model.
     Base;
-    /// Names a caller, as the settings list it.
+    /// The name of a caller, as listed in the settings.
     Caller;
-    /// Names a failure domain.
+    /// The name of a failure domain.
     Domain;
-    /// Names a back end: a model engine's replica or a plain service's replica.
+    /// The name of an endpoint: a replica of a model engine or of a plain service.
     Endpoint;
-    /// Names a group of adapters declared in the table.
+    /// The name of a group of adapters that the table declares.
     Group;
-    /// Names a place that demand comes from; see the glossary.
+    /// The name of a location that requests originate from; see the glossary.
     Hall;
-    /// Names an entry instance, on which one daemon runs.
+    /// The name of an entry instance, which runs one daemon.
     Instance;
-    /// Identifies one request over all processes.
+    /// The identifier of a request across all processes.
     Request;
 }
--- a/crates/ploverwick_serve/src/body.rs
+++ b/crates/ploverwick_serve/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies within bounds.
+//! Reads request bodies with a size limit and a timeout.
 
 use std::time::Duration;
 
@@ -6,27 +6,31 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-/// Says why a body was not read.
+/// The reason why a body could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// It did not arrive in time.
-    Slow,
-    /// The client went away.
-    Broken,
+    /// The body did not arrive within the timeout.
+    Timeout,
+    /// The client closed the connection.
+    Disconnected,
 }
 
 /// Reads a whole body.
 ///
 /// # Errors
-/// Fails if the body is too large, too slow, or breaks off.
-pub async fn read(body: Incoming, limit: usize, timeout: Duration) -> Result<Bytes, ReadError> {
+/// Fails if the body exceeds `limit`, does not arrive within `timeout`, or ends early.
+pub async fn read_body(
+    body: Incoming,
+    limit: usize,
+    timeout: Duration,
+) -> Result<Bytes, ReadError> {
     let whole = Limited::new(body, limit).collect();
     match tokio::time::timeout(timeout, whole).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ReadError::TooLarge),
-        Ok(Err(_)) => Err(ReadError::Broken),
-        Err(_) => Err(ReadError::Slow),
+        Ok(Err(_)) => Err(ReadError::Disconnected),
+        Err(_) => Err(ReadError::Timeout),
     }
 }
--- a/crates/ploverwick_serve/src/lib.rs
+++ b/crates/ploverwick_serve/src/lib.rs
@@ -1,11 +1,11 @@
-//! Serves HTTP/1 on a listener, with bounds, for daemons and stand-ins alike.
+//! An HTTP/1 server with limits, used by daemons and stand-ins.
 
 mod body;
 mod reply;
 mod server;
 mod stop;
 
-pub use body::{ReadError, read};
+pub use body::{ReadError, read_body};
 pub use reply::{Body, Reply, bytes, json, stream, text};
 pub use server::{Bounds, Handler, Server};
-pub use stop::{Stop, Stopper, stop};
+pub use stop::{StopGuard, StopSignal, stop_channel};
--- a/crates/ploverwick_serve/src/reply.rs
+++ b/crates/ploverwick_serve/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to requests.
+//! Builds HTTP responses.
 
 use std::convert::Infallible;
 
@@ -12,10 +12,10 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-/// The body of an answer. An error in it breaks the connection off.
+/// The body of a response. An error in it aborts the connection.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// An answer to a request.
+/// A response to a request.
 pub type Reply = Response<Body>;
 
 fn whole(bytes: Bytes) -> Body {
@@ -24,7 +24,7 @@
         .boxed()
 }
 
-/// Makes an answer of bytes.
+/// Creates a response with a body of bytes.
 pub fn bytes(status: StatusCode, content_type: &'static str, bytes: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(whole(bytes.into()));
     *reply.status_mut() = status;
@@ -34,19 +34,19 @@
     reply
 }
 
-/// Makes an answer of text.
+/// Creates a plain-text response.
 pub fn text(status: StatusCode, text: impl Into<String>) -> Reply {
     bytes(status, "text/plain; charset=utf-8", text.into())
 }
 
-/// Makes an answer of a value's JSON form.
+/// Creates a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
-    let body = serde_json::to_vec(value).expect("the project's own messages have a JSON form");
+    let body = serde_json::to_vec(value).expect("the value serialises to JSON");
     bytes(status, "application/json", body)
 }
 
-/// Makes an answer whose body is what comes out of a channel, until that is closed. An error
-/// breaks the connection off, so that the client does not take the answer for whole.
+/// Creates a response that streams the chunks received from a channel until the channel is closed. An error
+/// aborts the connection, so that the client does not take the response for complete.
 pub fn stream(
     status: StatusCode,
     content_type: &str,
--- a/crates/ploverwick_serve/src/server.rs
+++ b/crates/ploverwick_serve/src/server.rs
@@ -14,45 +14,45 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc};
 
-use crate::{Reply, Stop};
+use crate::{Reply, StopSignal};
 
-/// How long to wait after a failed accept, such as for want of file handles.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept, for example when the process has run out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// The most connections at once; further ones wait to be accepted.
+    /// The maximum number of concurrent connections; further ones wait to be accepted.
     pub connections: usize,
-    /// How long a request's head may take to arrive.
-    pub head_timeout: Duration,
-    /// The most bytes of a request's head.
-    pub head_bytes: usize,
+    /// The maximum time in which the header section of a request must arrive.
+    pub header_timeout: Duration,
+    /// The maximum length of the header section of a request in bytes.
+    pub max_header_bytes: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
             connections: 4096,
-            head_timeout: Duration::from_secs(10),
-            head_bytes: 32 << 10,
+            header_timeout: Duration::from_secs(10),
+            max_header_bytes: 32 << 10,
         }
     }
 }
 
-/// Answers requests. An error breaks the connection off without an answer.
+/// Handles requests. An error aborts the connection without a response.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request.
     ///
     /// # Errors
-    /// Fails to break the connection off.
+    /// Returns an error to abort the connection.
     fn handle(
         &self,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<Reply, std::io::Error>> + Send;
 }
 
-/// A server that runs until its [`Stop`] is stopped.
+/// A server that runs until the [`StopGuard`] of its [`StopSignal`] is dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -60,7 +60,7 @@
 }
 
 impl Server {
-    /// Starts to serve on `listener`.
+    /// Starts serving on `listener`.
     ///
     /// # Errors
     /// Fails if the listener has no address.
@@ -68,10 +68,10 @@
         listener: TcpListener,
         handler: Arc<H>,
         bounds: Bounds,
-        stop: Stop,
+        stop: StopSignal,
     ) -> std::io::Result<Self> {
         let address = listener.local_addr()?;
-        // Every connection holds a clone of the sender; the last one to go closes the channel.
+        // The accept loop and every connection hold a sender; dropping the last one closes the channel.
         let (guard, done) = mpsc::channel(1);
         tokio::spawn(accept(listener, handler, bounds, stop, guard));
         Ok(Self { address, done })
@@ -82,7 +82,7 @@
         self.address
     }
 
-    /// Waits until the server has stopped and every connection is over.
+    /// Waits until the server has stopped and all connections are closed.
     pub async fn finished(mut self) {
         while self.done.recv().await.is_some() {}
     }
@@ -92,7 +92,7 @@
     listener: TcpListener,
     handler: Arc<H>,
     bounds: Bounds,
-    mut stop: Stop,
+    mut stop: StopSignal,
     guard: mpsc::Sender<()>,
 ) {
     let permits = Arc::new(Semaphore::new(bounds.connections));
@@ -105,7 +105,7 @@
             () = stop.stopped() => return,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let handler = Arc::clone(&handler);
@@ -119,14 +119,14 @@
     }
 }
 
-/// Serves one connection; after the stop it finishes the request at hand and closes.
+/// Serves one connection. On the stop signal it finishes the current request and closes.
 async fn connection<H: Handler>(
     stream: TcpStream,
     handler: Arc<H>,
     bounds: Bounds,
-    mut stop: Stop,
+    mut stop: StopSignal,
 ) {
-    // Without this, small parts of a stream wait for acknowledgements.
+    // With Nagle's algorithm, small chunks of a stream would wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
@@ -134,8 +134,8 @@
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.head_timeout)
-        .max_buf_size(bounds.head_bytes)
+        .header_read_timeout(bounds.header_timeout)
+        .max_buf_size(bounds.max_header_bytes)
         .serve_connection(TokioIo::new(stream), service);
     let mut serving = pin!(serving);
     let ended = tokio::select! {
@@ -144,7 +144,7 @@
     };
     if ended.is_none() {
         serving.as_mut().graceful_shutdown();
-        // An error here is the client's leaving; there is nobody left to tell.
+        // An error here means that the client disconnected, so there is nobody to report it to.
         let _ = serving.await;
     }
 }
--- a/crates/ploverwick_serve/src/stop.rs
+++ b/crates/ploverwick_serve/src/stop.rs
@@ -1,33 +1,33 @@
-//! A channel whose closing ends tasks.
+//! A channel that stops tasks when it is closed.
 
 use tokio::sync::watch;
 
-/// Ends every task that holds a matching [`Stop`], once this is dropped.
+/// Stops every task that waits for a matching [`StopSignal`] when dropped.
 #[derive(Debug)]
-pub struct Stopper {
+pub struct StopGuard {
     _sender: watch::Sender<()>,
 }
 
-/// Waits for its [`Stopper`] to be dropped.
+/// A signal that fires when its [`StopGuard`] is dropped.
 #[derive(Debug, Clone)]
-pub struct Stop {
+pub struct StopSignal {
     receiver: watch::Receiver<()>,
 }
 
-/// Makes a channel whose closing ends tasks.
-pub fn stop() -> (Stopper, Stop) {
+/// Creates a channel that stops tasks when its [`StopGuard`] is dropped.
+pub fn stop_channel() -> (StopGuard, StopSignal) {
     let (sender, receiver) = watch::channel(());
-    (Stopper { _sender: sender }, Stop { receiver })
+    (StopGuard { _sender: sender }, StopSignal { receiver })
 }
 
-impl Stop {
-    /// Returns once the [`Stopper`] is dropped.
+impl StopSignal {
+    /// Waits until the [`StopGuard`] is dropped.
     pub async fn stopped(&mut self) {
-        // Nothing is ever sent, so a change can only be the closing.
+        // No value is ever sent, so this ends only when the channel is closed.
         while self.receiver.changed().await.is_ok() {}
     }
 
-    /// Says whether the [`Stopper`] is dropped.
+    /// Returns whether the [`StopGuard`] has been dropped.
     pub fn is_stopped(&self) -> bool {
         self.receiver.has_changed().is_err()
     }
--- a/crates/ploverwick_standin/src/host.rs
+++ b/crates/ploverwick_standin/src/host.rs
@@ -8,7 +8,9 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
-use ploverwick_serve::{Bounds, Handler, Reply, Server, Stop, Stopper, json, stop, text};
+use ploverwick_serve::{
+    Bounds, Handler, Reply, Server, StopGuard, StopSignal, json, stop_channel, text,
+};
 use ploverwick_timeline::clock::Stamp;
 use ploverwick_timeline::{Event, Kind, Recorder};
 use serde::Serialize;
@@ -23,7 +25,7 @@
 #[derive(Debug)]
 pub struct Running {
     address: SocketAddr,
-    stopper: Stopper,
+    stopper: StopGuard,
     server: Server,
 }
 
@@ -43,10 +45,10 @@
 /// Listens on `address` and serves `handler`.
 pub(crate) async fn run<H: Handler>(
     address: SocketAddr,
-    make: impl FnOnce(Stop) -> Arc<H>,
+    make: impl FnOnce(StopSignal) -> Arc<H>,
 ) -> io::Result<Running> {
     let listener = TcpListener::bind(address).await?;
-    let (stopper, stop) = stop();
+    let (stopper, stop) = stop_channel();
     let handler = make(stop.clone());
     let server = Server::start(listener, handler, Bounds::default(), stop)?;
     Ok(Running {
@@ -101,7 +103,7 @@
 
 /// Reads a request's body.
 pub(crate) async fn body(request: Request<Incoming>) -> io::Result<Bytes> {
-    let read = ploverwick_serve::read(request.into_body(), MAX_BODY, BODY_TIMEOUT);
+    let read = ploverwick_serve::read_body(request.into_body(), MAX_BODY, BODY_TIMEOUT);
     read.await
         .map_err(|error| io::Error::other(format!("{error:?}")))
 }
