--- a/crates/ploverwick_topics/tests/message_parts.rs
+++ b/crates/ploverwick_topics/tests/message_parts.rs
@@ -1,82 +1,91 @@
-//! A message longer than a datagram comes whole or not at all, in whatever order its parts come.
+//! A message longer than a datagram arrives complete or not at all, in whatever order its parts arrive.
 
 use std::net::{IpAddr, Ipv4Addr};
 
 use googletest::prelude::*;
 use ploverwick_topics::parts::{MAX_MESSAGE_BYTES, Reassembler, is_part, split};
 
-const FROM: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-const SIZE: usize = 1_300;
+const SENDER: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+const DATAGRAM_BYTES: usize = 1_300;
 
 fn message(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n % 251) as u8).collect()
 }
 
 #[gtest]
-fn whole_in_any_order() {
+fn parts_reassemble_in_any_order() {
     let long = message(MAX_MESSAGE_BYTES);
-    let mut parts = split(&long, SIZE);
-    expect_true!(parts.iter().all(|part| part.len() <= SIZE && is_part(part)));
+    let mut parts = split(&long, DATAGRAM_BYTES);
+    expect_true!(
+        parts
+            .iter()
+            .all(|part| part.len() <= DATAGRAM_BYTES && is_part(part))
+    );
     parts.reverse();
     let last = parts.pop().expect("a long message has parts");
     let mut reassembler = Reassembler::default();
     for part in &parts {
-        expect_that!(reassembler.add_part(part, FROM), none());
-        // A part that comes twice adds nothing.
-        expect_that!(reassembler.add_part(part, FROM), none());
+        expect_that!(reassembler.add_part(part, SENDER), none());
+        // A duplicate part has no effect.
+        expect_that!(reassembler.add_part(part, SENDER), none());
     }
-    expect_that!(reassembler.add_part(&last, FROM), some(eq(&long)));
+    expect_that!(reassembler.add_part(&last, SENDER), some(eq(&long)));
 }
 
 #[gtest]
-fn messages_keep_apart() {
+fn interleaved_messages_stay_separate() {
     let (one, two) = (message(3_000), vec![9; 3_000]);
-    let parts = split(&one, SIZE).into_iter().zip(split(&two, SIZE));
+    let parts = split(&one, DATAGRAM_BYTES)
+        .into_iter()
+        .zip(split(&two, DATAGRAM_BYTES));
     let mut reassembler = Reassembler::default();
     let mut whole = Vec::new();
     for (a, b) in parts {
-        whole.extend(reassembler.add_part(&a, FROM));
-        whole.extend(reassembler.add_part(&b, FROM));
+        whole.extend(reassembler.add_part(&a, SENDER));
+        whole.extend(reassembler.add_part(&b, SENDER));
     }
     expect_that!(whole, eq(&vec![one, two]));
 }
 
-/// What is missing is not waited for without end, and odd parts are passed over.
+/// Incomplete messages are evicted and malformed parts are ignored.
 #[gtest]
-fn lost_parts_are_let_go() {
+fn incomplete_messages_are_evicted() {
     let mut reassembler = Reassembler::default();
     for number in 0..100 {
-        let parts = split(&vec![number; 3_000], SIZE);
-        expect_that!(reassembler.add_part(&parts[0], FROM), none());
+        let parts = split(&vec![number; 3_000], DATAGRAM_BYTES);
+        expect_that!(reassembler.add_part(&parts[0], SENDER), none());
     }
-    expect_that!(reassembler.add_part(&[0xff, 0, 0], FROM), none());
+    expect_that!(reassembler.add_part(&[0xff, 0, 0], SENDER), none());
     expect_that!(
-        reassembler.add_part(&[0xff, 0, 0, 0, 1, 3, 2, 8], FROM),
+        reassembler.add_part(&[0xff, 0, 0, 0, 1, 3, 2, 8], SENDER),
         none()
     );
-    let first = split(&vec![0; 3_000], SIZE);
-    expect_that!(reassembler.add_part(&first[1], FROM), none());
-    expect_that!(reassembler.add_part(&first[2], FROM), none());
+    let first = split(&vec![0; 3_000], DATAGRAM_BYTES);
+    expect_that!(reassembler.add_part(&first[1], SENDER), none());
+    expect_that!(reassembler.add_part(&first[2], SENDER), none());
 }
 
-/// A process that starts again numbers nothing as its earlier life did: what that one left unfinished is not
-/// put together with what comes now.
+/// A sender that restarts does not continue its numbering. Parts of a message that it left unfinished must not
+/// be combined with parts of a message sent after the restart.
 #[gtest]
-fn lives_keep_apart() {
+fn parts_before_restart_are_not_mixed() {
     let (earlier, later) = (vec![1; 3_000], vec![2; 3_000]);
-    let (earlier, later_parts) = (split(&earlier, SIZE), split(&later, SIZE));
+    let (earlier, later_parts) = (
+        split(&earlier, DATAGRAM_BYTES),
+        split(&later, DATAGRAM_BYTES),
+    );
     let mut reassembler = Reassembler::default();
-    expect_that!(reassembler.add_part(&earlier[2], FROM), none());
-    expect_that!(reassembler.add_part(&later_parts[0], FROM), none());
-    expect_that!(reassembler.add_part(&later_parts[1], FROM), none());
+    expect_that!(reassembler.add_part(&earlier[2], SENDER), none());
+    expect_that!(reassembler.add_part(&later_parts[0], SENDER), none());
+    expect_that!(reassembler.add_part(&later_parts[1], SENDER), none());
     expect_that!(
-        reassembler.add_part(&later_parts[2], FROM),
+        reassembler.add_part(&later_parts[2], SENDER),
         some(eq(&later))
     );
-    // A part that was changed on the way spoils its message.
+    // A part that was corrupted in transit invalidates its message.
     let mut changed = earlier[0].clone();
     changed[20] ^= 1;
-    expect_that!(reassembler.add_part(&changed, FROM), none());
-    expect_that!(reassembler.add_part(&earlier[1], FROM), none());
-    expect_that!(reassembler.add_part(&earlier[2], FROM), none());
+    expect_that!(reassembler.add_part(&changed, SENDER), none());
+    expect_that!(reassembler.add_part(&earlier[1], SENDER), none());
+    expect_that!(reassembler.add_part(&earlier[2], SENDER), none());
 }
--- a/crates/ploverwick_topics/tests/reader_selection.rs
+++ b/crates/ploverwick_topics/tests/reader_selection.rs
@@ -1,5 +1,5 @@
-//! The first two instances by name read; those that fail are replaced, and in an outage of all not by
-//! everybody.
+//! Selects the readers of a failure domain: the two highest-ranked instances read and failing ones are
+//! replaced, but an outage of the store does not make every instance a reader.
 
 use googletest::prelude::*;
 use ploverwick_topics::{Candidate, Peer, Reading, Role, role};
@@ -16,9 +16,9 @@
     Candidate { capacity, name }
 }
 
-/// Reading and telling for forty others takes more of a processor than most instances have.
+/// Reading and forwarding for forty instances needs more CPU capacity than most instances have.
 #[gtest]
-fn large_ones_first() {
+fn larger_capacity_ranks_first() {
     let peers = [("a", 120), ("y", 500), ("z", 500)];
     let peers = peers.map(|(name, capacity)| Peer {
         candidate: candidate(capacity, name),
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn failing_ones_replaced() {
+fn failing_readers_are_replaced() {
     expect_that!(
         role_of("c", &[("a", Fails), ("b", Reads)]),
         eq(Role::Reader)
@@ -80,9 +80,9 @@
     );
 }
 
-/// A store that is away for all must not be asked by all.
+/// An outage of the store must not make every instance call it.
 #[gtest]
-fn outage_adds_two() {
+fn outage_adds_two_readers() {
     let names: Vec<String> = (0..40).map(|n| format!("i{n:02}")).collect();
     let reads = names.iter().filter(|own| {
         let peers = names.iter().filter(|name| name != own);
--- a/crates/ploverwick_topics/tests/subscription_histories.rs
+++ b/crates/ploverwick_topics/tests/subscription_histories.rs
@@ -1,5 +1,5 @@
-//! Histories of kills, freezes, cuts from the store and lost messages: nobody that can hear is deaf for
-//! longer than a bound, and calls grow with the failure domains and not with the instances.
+//! Simulates kills, freezes, partitions from the store and lost messages: every healthy instance receives each
+//! record within a bound, and calls grow with the failure domains and not with the instances.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,23 +9,24 @@
 use rand::rngs::StdRng;
 use rand::{RngExt as _, SeedableRng as _};
 
-/// One step of the simulated time.
+/// The step of the simulated time in milliseconds.
 const TICK: u64 = 10;
-/// How long a history lasts.
-const END: u64 = 60_000;
-/// The pause between statuses, and how many peers of the own domain get one.
-const STATUS: u64 = 150;
+/// The duration of a simulation.
+const DURATION_MS: u64 = 60_000;
+/// The interval between status messages, and the number of peers of the same domain that receive one.
+const STATUS_INTERVAL_MS: u64 = 150;
 const STATUS_PEERS: usize = 8;
-/// The first instance of a domain tells the others where the topic ends, so often.
-const FAR: u64 = 600;
-/// A peer that is silent for longer is not counted.
-const HEARD: u64 = 2_500;
-/// A call whose answer does not come fails after this.
-const SILENT: u64 = 3_000;
-/// A waiting read comes back after this.
-const WAIT: u64 = 28_000;
-/// How late an instance may hear that runs and reaches the store: a configuration has 4 s there.
-const BOUND: u64 = 4_000;
+/// The interval at which the first instance of a domain reports the end of the topic to other domains.
+const END_REPORT_INTERVAL_MS: u64 = 600;
+/// A peer that has sent no status for longer is ignored.
+const PEER_TIMEOUT_MS: u64 = 2_500;
+/// The time after which an unanswered call fails.
+const CALL_TIMEOUT_MS: u64 = 3_000;
+/// The time after which a long poll returns without records.
+const LONG_POLL_MS: u64 = 28_000;
+/// The bound on the delay of a record at a running instance that reaches the store: a configuration must arrive
+/// within 4 s.
+const MAX_DELAY_MS: u64 = 4_000;
 
 #[derive(Clone, Copy)]
 enum Call {
@@ -37,7 +38,7 @@
     },
 }
 
-enum Mail {
+enum Message {
     Status {
         from: usize,
         end: Position,
@@ -56,20 +57,20 @@
     name: String,
     domain: usize,
     subscription: Subscription,
-    /// The write times of the records that it has read or was told of.
+    /// The write times of the records that it has read or received.
     known_records: BTreeSet<u64>,
     reading: Reading,
-    heard: BTreeMap<usize, (u64, Reading)>,
+    last_heard: BTreeMap<usize, (u64, Reading)>,
     call: Option<(Call, u64)>,
     retry_at: u64,
-    runs_from: u64,
+    down_until: u64,
     frozen_until: u64,
-    cut_until: u64,
-    /// Since when it runs without a pause and reaches the store.
-    sound_since: u64,
+    partitioned_until: u64,
+    /// Since when it has been running without interruption and reaching the store.
+    healthy_since: u64,
 }
 
-/// One in twelve has more of a processor than the others.
+/// Gives one instance in twelve more CPU capacity than the others have.
 fn candidate(instance: &Instance) -> Candidate<'_> {
     let is_large = instance.name.ends_with('7');
     Candidate {
@@ -78,7 +79,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     now: u64,
     random: StdRng,
     instances: Vec<Instance>,
@@ -88,15 +89,15 @@
     era: u64,
     /// Whether the store reports its era; if not, positions differ by offset only.
     reports_era: bool,
-    /// Whether the store is restored at every `RESTORE_INTERVAL`.
+    /// Whether the store is restored at every `RESTORE_INTERVAL_MS`.
     has_restores: bool,
-    mail: VecDeque<(u64, usize, Mail)>,
+    messages: VecDeque<(u64, usize, Message)>,
     calls: u64,
     loss: f64,
-    late: u64,
+    max_delay: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(domains: usize, each: usize, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let instances = (0..domains * each)
@@ -106,13 +107,13 @@
                 subscription: Subscription::new(random.random_range(0.0..1.0), Moment(0)),
                 known_records: BTreeSet::new(),
                 reading: Reading::Rests,
-                heard: BTreeMap::new(),
+                last_heard: BTreeMap::new(),
                 call: None,
                 retry_at: 0,
-                runs_from: 0,
+                down_until: 0,
                 frozen_until: 0,
-                cut_until: 0,
-                sound_since: 0,
+                partitioned_until: 0,
+                healthy_since: 0,
             })
             .collect();
         Self {
@@ -123,10 +124,10 @@
             era: 0,
             reports_era: true,
             has_restores: false,
-            mail: VecDeque::new(),
+            messages: VecDeque::new(),
             calls: 0,
             loss: 0.02,
-            late: 0,
+            max_delay: 0,
         }
     }
 
@@ -137,10 +138,10 @@
         }
     }
 
-    fn send(&mut self, to: usize, mail: Mail) {
+    fn send(&mut self, to: usize, message: Message) {
         if !self.random.random_bool(self.loss) {
             let at = self.now + self.random.random_range(1..30);
-            self.mail.push_back((at, to, mail));
+            self.messages.push_back((at, to, message));
         }
     }
 
@@ -153,23 +154,23 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let waiting = std::mem::take(&mut self.mail);
-        for (at, to, mail) in waiting {
+        let waiting = std::mem::take(&mut self.messages);
+        for (at, to, message) in waiting {
             let instance = &mut self.instances[to];
             if at > now || instance.frozen_until > now {
-                self.mail.push_back((at, to, mail));
+                self.messages.push_back((at, to, message));
                 continue;
             }
-            if instance.runs_from > now {
+            if instance.down_until > now {
                 continue;
             }
-            match mail {
-                Mail::Status { from, end, reading } => {
-                    instance.heard.insert(from, (now, reading));
+            match message {
+                Message::Status { from, end, reading } => {
+                    instance.last_heard.insert(from, (now, reading));
                     instance.subscription.observe_end(end, Moment(now));
                 }
-                Mail::End(end) => instance.subscription.observe_end(end, Moment(now)),
-                Mail::Records {
+                Message::End(end) => instance.subscription.observe_end(end, Moment(now)),
+                Message::Records {
                     from,
                     next,
                     written,
@@ -186,24 +187,24 @@
 
     fn role(&self, own: usize) -> Role {
         let instance = &self.instances[own];
-        let heard = instance.heard.iter();
-        let heard = heard.filter(|(_, (at, _))| self.now - at <= HEARD);
-        let peers = heard.map(|(peer, (_, reading))| Peer {
+        let last_heard = instance.last_heard.iter();
+        let last_heard = last_heard.filter(|(_, (at, _))| self.now - at <= PEER_TIMEOUT_MS);
+        let peers = last_heard.map(|(peer, (_, reading))| Peer {
             candidate: candidate(&self.instances[*peer]),
             reading: *reading,
         });
         role(candidate(instance), peers)
     }
 
-    /// Begins or ends the call of an instance.
-    fn run(&mut self, own: usize) {
+    /// Starts or finishes a call of an instance.
+    fn step_call(&mut self, own: usize) {
         let now = self.now;
-        if self.instances[own].runs_from > now || self.instances[own].frozen_until > now {
+        if self.instances[own].down_until > now || self.instances[own].frozen_until > now {
             return;
         }
-        let is_cut = self.instances[own].cut_until > now;
+        let is_partitioned = self.instances[own].partitioned_until > now;
         if let Some((call, asked)) = self.instances[own].call {
-            return self.answer(own, call, asked, is_cut);
+            return self.answer(own, call, asked, is_partitioned);
         }
         if self.instances[own].retry_at > now {
             return;
@@ -218,7 +219,7 @@
             }
             Step::ReadAll => Call::All,
             Step::ReadOn { from, waits } => {
-                let until = if waits { now + WAIT } else { now };
+                let until = if waits { now + LONG_POLL_MS } else { now };
                 Call::On { from, waits, until }
             }
         };
@@ -231,12 +232,14 @@
         instance.call = Some((call, now));
     }
 
-    fn answer(&mut self, own: usize, call: Call, asked: u64, is_cut: bool) {
+    fn answer(&mut self, own: usize, call: Call, asked: u64, is_partitioned: bool) {
         let (now, end) = (self.now, self.end());
         let instance = &mut self.instances[own];
-        if is_cut {
-            // A cut that lasts is noticed; one that ends before holds the answer up.
-            if now >= asked + SILENT && now + SILENT <= instance.cut_until + SILENT {
+        if is_partitioned {
+            // A long partition makes the call time out; a shorter one only delays the answer.
+            if now >= asked + CALL_TIMEOUT_MS
+                && now + CALL_TIMEOUT_MS <= instance.partitioned_until + CALL_TIMEOUT_MS
+            {
                 instance.call = None;
                 instance.reading = Reading::Fails;
                 instance.subscription.record_failure();
@@ -273,7 +276,7 @@
                         let next = end;
                         self.send(
                             peer,
-                            Mail::Records {
+                            Message::Records {
                                 from,
                                 next,
                                 written,
@@ -285,27 +288,27 @@
         }
     }
 
-    fn statuses(&mut self, own: usize) {
+    fn send_statuses(&mut self, own: usize) {
         let now = self.now;
         let instance = &self.instances[own];
-        if instance.runs_from > now || instance.frozen_until > now {
+        if instance.down_until > now || instance.frozen_until > now {
             return;
         }
         let (domain, reading) = (instance.domain, instance.reading);
         let Some(end) = instance.subscription.next() else {
             return;
         };
-        if now.is_multiple_of(STATUS) {
+        if now.is_multiple_of(STATUS_INTERVAL_MS) {
             let mut peers = self.peers(own);
             if peers.len() > STATUS_PEERS {
-                let turn = (now / STATUS) as usize * STATUS_PEERS % peers.len();
+                let turn = (now / STATUS_INTERVAL_MS) as usize * STATUS_PEERS % peers.len();
                 peers.rotate_left(turn);
                 peers.truncate(STATUS_PEERS);
             }
             for peer in peers {
                 self.send(
                     peer,
-                    Mail::Status {
+                    Message::Status {
                         from: own,
                         end,
                         reading,
@@ -313,18 +316,18 @@
                 );
             }
         }
-        // The first of a domain by name stands for its placer.
+        // The first instance of a domain by name stands in for its placer.
         let places = self.peers(own).iter().all(|peer| *peer > own);
-        if places && now.is_multiple_of(FAR) {
+        if places && now.is_multiple_of(END_REPORT_INTERVAL_MS) {
             for peer in 0..self.instances.len() {
                 if self.instances[peer].domain != domain {
-                    self.send(peer, Mail::End(end));
+                    self.send(peer, Message::End(end));
                 }
             }
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.now;
         let own = self.random.random_range(0..self.instances.len());
         let lasts = self.random.random_range(500..8_000);
@@ -333,28 +336,28 @@
         let instance = &mut self.instances[own];
         match kind {
             0 => {
-                instance.runs_from = now + lasts;
+                instance.down_until = now + lasts;
                 instance.subscription = Subscription::new(chance, Moment(now + lasts));
                 instance.known_records.clear();
-                instance.heard.clear();
+                instance.last_heard.clear();
                 instance.call = None;
                 instance.reading = Reading::Rests;
             }
             1 => instance.frozen_until = now + lasts,
-            _ => instance.cut_until = now + lasts,
+            _ => instance.partitioned_until = now + lasts,
         }
-        instance.sound_since = instance.sound_since.max(now + lasts);
+        instance.healthy_since = instance.healthy_since.max(now + lasts);
     }
 
-    /// Looks who is deaf.
-    fn judge(&mut self) {
+    /// Updates the maximum delay with the records that healthy instances are missing.
+    fn measure_delay(&mut self) {
         for instance in &self.instances {
-            let since = instance.sound_since;
+            let since = instance.healthy_since;
             let missing = self.records.iter();
             let missing = missing.filter(|written| !instance.known_records.contains(written));
             for written in missing {
-                let late = self.now.saturating_sub((*written).max(since));
-                self.late = self.late.max(late);
+                let delay = self.now.saturating_sub((*written).max(since));
+                self.max_delay = self.max_delay.max(delay);
             }
         }
     }
@@ -367,119 +370,119 @@
         self.era += 1;
     }
 
-    fn play(&mut self, strikes: f64, each_ms: u64) {
-        while self.now < END {
+    fn run(&mut self, faults_per_tick: f64, record_interval_ms: u64) {
+        while self.now < DURATION_MS {
             self.now += TICK;
-            if self.has_restores && self.now.is_multiple_of(RESTORE_INTERVAL) {
+            if self.has_restores && self.now.is_multiple_of(RESTORE_INTERVAL_MS) {
                 self.restore();
             }
-            if self.now.is_multiple_of(each_ms) {
+            if self.now.is_multiple_of(record_interval_ms) {
                 self.records.push(self.now);
             }
-            if self.random.random_bool(strikes) {
-                self.strike();
+            if self.random.random_bool(faults_per_tick) {
+                self.inject_fault();
             }
             self.deliver();
             for own in 0..self.instances.len() {
-                self.run(own);
-                self.statuses(own);
+                self.step_call(own);
+                self.send_statuses(own);
             }
-            self.judge();
+            self.measure_delay();
         }
     }
 }
 
 /// The time between two restores of the store.
-const RESTORE_INTERVAL: u64 = 9_000;
+const RESTORE_INTERVAL_MS: u64 = 9_000;
 
-/// One trouble in two seconds, each of up to eight.
-const STRIKES: f64 = TICK as f64 / 2_000.0;
+/// One fault every two seconds on average, each lasting up to eight seconds.
+const FAULTS_PER_TICK: f64 = TICK as f64 / 2_000.0;
 
 #[gtest]
-fn nobody_is_deaf() {
+fn records_arrive_within_bound() {
     for seed in 0..8 {
-        let mut world = World::new(3, 12, seed);
-        world.play(STRIKES, 1_700);
-        expect_that!(world.late, le(BOUND), "seed {seed}");
+        let mut simulation = Simulation::new(3, 12, seed);
+        simulation.run(FAULTS_PER_TICK, 1_700);
+        expect_that!(simulation.max_delay, le(MAX_DELAY_MS), "seed {seed}");
     }
 }
 
-/// Without trouble, calls follow the domains: the readers' reads of each record, the start of each
-/// instance, and what lost messages cost.
+/// Without faults, the number of calls depends on the domains: each reader reads each record, each instance
+/// reads once at its start, and lost messages cause further reads.
 #[gtest]
-fn calls_follow_domains() {
+fn calls_grow_with_domains() {
     let calls = |each: usize| {
-        let mut world = World::new(3, each, 7);
-        world.play(0.0, 2_000);
-        let starts = world.instances.len() as u64;
-        (world.calls - starts, world.late)
+        let mut simulation = Simulation::new(3, each, 7);
+        simulation.run(0.0, 2_000);
+        let starts = simulation.instances.len() as u64;
+        (simulation.calls - starts, simulation.max_delay)
     };
     let (few, _) = calls(4);
-    let (many, late) = calls(40);
-    // 30 records, 6 readers; 2 of 100 messages are lost on the way from each of two readers.
+    let (many, max_delay) = calls(40);
+    // 30 records and 6 readers; 2 of 100 messages from each of two readers are lost.
     expect_that!(few, le(6 * 32 + 6));
     expect_that!(many, le(6 * 32 + 30));
-    expect_that!(late, le(1_000));
+    expect_that!(max_delay, le(1_000));
 }
 
-/// All readers of a domain are cut off from the store at once, and the others hear in time.
+/// All readers of a domain lose the store at once, and the other instances still receive records in time.
 #[gtest]
-fn readers_cut_off() {
+fn partitioned_readers_delay_nobody() {
     for seed in 0..6 {
-        let mut world = World::new(3, 12, seed);
+        let mut simulation = Simulation::new(3, 12, seed);
         for own in 0..6 {
-            world.instances[own].cut_until = 40_000;
-            world.instances[own].sound_since = 40_000;
+            simulation.instances[own].partitioned_until = 40_000;
+            simulation.instances[own].healthy_since = 40_000;
         }
-        // They started before.
-        for instance in &mut world.instances {
+        // The instances have already started.
+        for instance in &mut simulation.instances {
             instance.subscription.finish_read(0.into());
         }
-        world.play(0.0, 1_700);
-        expect_that!(world.late, le(BOUND), "seed {seed}");
+        simulation.run(0.0, 1_700);
+        expect_that!(simulation.max_delay, le(MAX_DELAY_MS), "seed {seed}");
     }
 }
 
-/// While the store is away for all, few ask, whatever the size.
+/// During an outage of the store only a few instances per domain keep calling it, whatever the fleet size.
 #[gtest]
-fn outage_is_quiet() {
+fn outage_limits_calls() {
     let calls = |each: usize| {
-        let mut world = World::new(3, each, 3);
-        for instance in &mut world.instances {
+        let mut simulation = Simulation::new(3, each, 3);
+        for instance in &mut simulation.instances {
             instance.subscription.finish_read(0.into());
-            instance.cut_until = END;
-            instance.sound_since = END;
+            instance.partitioned_until = DURATION_MS;
+            instance.healthy_since = DURATION_MS;
         }
-        world.play(0.0, 5_000);
-        world.calls
+        simulation.run(0.0, 5_000);
+        simulation.calls
     };
-    // Four of each domain try again and again; the others look now and then.
-    let often = END / (SILENT + 300) + 1;
-    let seldom = END / (9_600 + SILENT) + 4;
+    // Four instances of each domain retry often; the others read only at the fallback interval.
+    let often = DURATION_MS / (CALL_TIMEOUT_MS + 300) + 1;
+    let seldom = DURATION_MS / (9_600 + CALL_TIMEOUT_MS) + 4;
     expect_that!(calls(4), le(3 * 4 * often));
     expect_that!(calls(30), le(3 * (4 * often + 26 * seldom)));
 }
 
 /// Guards against instances that miss records whose offsets were already assigned before a restore.
 #[gtest]
-fn restores_are_heard() {
+fn records_arrive_after_restores() {
     for seed in 0..8 {
-        let mut world = World::new(3, 12, seed);
-        world.has_restores = true;
-        world.play(STRIKES, 1_700);
-        expect_that!(world.late, le(BOUND), "seed {seed}");
+        let mut simulation = Simulation::new(3, 12, seed);
+        simulation.has_restores = true;
+        simulation.run(FAULTS_PER_TICK, 1_700);
+        expect_that!(simulation.max_delay, le(MAX_DELAY_MS), "seed {seed}");
     }
 }
 
-/// Checks that `restores_are_heard` would detect instances that compare offsets alone.
+/// Checks that `records_arrive_after_restores` would detect instances that compare offsets alone.
 #[gtest]
-fn era_is_needed() {
-    let late = (0..8).map(|seed| {
-        let mut world = World::new(3, 12, seed);
-        world.has_restores = true;
-        world.reports_era = false;
-        world.play(STRIKES, 1_700);
-        world.late
+fn offsets_alone_miss_records() {
+    let max_delay = (0..8).map(|seed| {
+        let mut simulation = Simulation::new(3, 12, seed);
+        simulation.has_restores = true;
+        simulation.reports_era = false;
+        simulation.run(FAULTS_PER_TICK, 1_700);
+        simulation.max_delay
     });
-    expect_that!(late.max(), some(gt(BOUND)));
+    expect_that!(max_delay.max(), some(gt(MAX_DELAY_MS)));
 }
