--- a/crates/ploverwick_quota/tests/retry_after.rs
+++ b/crates/ploverwick_quota/tests/retry_after.rs
@@ -97,7 +97,7 @@
         costs: vec![1],
         prefetch: 100,
     };
-    let grant = pool.grant(&request, &Quota::NOTHING, now);
+    let grant = pool.grant(&request, &Quota::ZERO, now);
     expect_that!(grant.units, eq(0));
     expect_that!(grant.wait_ms, gt(1_000));
 }
