--- a/crates/ploverwick_gateway/src/controllers/limits.rs
+++ b/crates/ploverwick_gateway/src/controllers/limits.rs
@@ -18,12 +18,12 @@
 /// Takes in what the head of the answer to the request `id`, which was sent at a moment, says of its
 /// endpoint's limit.
 pub(crate) fn answered(shared: &Shared, endpoint: &Arc<str>, id: &str, head: &Head, sent: Moment) {
-    let is_its_own = head.signed || head.statement != Statement::Nothing;
+    let is_its_own = head.is_signed || head.statement != Statement::Nothing;
     let limit = match head.limit {
         // An answer that is not proven to be the endpoint's lifts nothing.
-        answer::Limit::Unnamed if !is_its_own => return,
-        answer::Limit::Unnamed => None,
-        answer::Limit::Named(rate) => Some(Limit::per_second(rate)),
+        answer::Limit::Absent if !is_its_own => return,
+        answer::Limit::Absent => None,
+        answer::Limit::Rate(rate) => Some(Limit::per_second(rate)),
         answer::Limit::Malformed => {
             if shared.lines.allow(shared.now()) {
                 spdlog::warn!("endpoint_limit_malformed endpoint={} id={}", endpoint, id);
--- a/crates/ploverwick_gateway/src/controllers/orders.rs
+++ b/crates/ploverwick_gateway/src/controllers/orders.rs
@@ -184,7 +184,7 @@
     let answer = match connection {
         Ok(_) if !is_held => return None,
         Ok(connection) => match exchange(shared, entry, connection, request, limit).await {
-            Some(response) => order::answer(response.status()),
+            Some(response) => order::decode_answer(response.status()),
             None => Answer::Unknown,
         },
         Err(cause) => {
@@ -248,7 +248,7 @@
     };
     let report = match connection {
         Some(connection) => {
-            let request = order::ask_report(&entry.id);
+            let request = order::report_request(&entry.id);
             let response = exchange(shared, entry, connection, request, REPORT).await;
             response.and_then(|response| stated(entry, response.body()))
         }
@@ -262,7 +262,7 @@
 /// Reads the report of this life of an endpoint; `None` if another one answered, of which the list will
 /// tell.
 fn stated(entry: &Entry, body: &[u8]) -> Option<Report> {
-    let stated = roster::report(body)
+    let stated = roster::decode_report(body)
         .map_err(|error| {
             spdlog::warn!("report_malformed endpoint={} cause=\"{}\"", entry.id, error);
         })
--- a/crates/ploverwick_gateway/src/controllers/pauses.rs
+++ b/crates/ploverwick_gateway/src/controllers/pauses.rs
@@ -11,8 +11,8 @@
 /// Handles the `Retry-After` header of an endpoint's answer to the request `id`.
 pub(crate) fn answered(shared: &Shared, endpoint: &Arc<str>, id: &str, retry_after: RetryAfter) {
     let pause = match retry_after {
-        RetryAfter::Unnamed | RetryAfter::Named(Duration::ZERO) => return,
-        RetryAfter::Named(pause) => pause,
+        RetryAfter::Absent | RetryAfter::Delay(Duration::ZERO) => return,
+        RetryAfter::Delay(pause) => pause,
         RetryAfter::Malformed => {
             if shared.lines.allow(shared.now()) {
                 spdlog::warn!("retry_after_malformed endpoint={} id={}", endpoint, id);
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/roster.rs
@@ -151,7 +151,7 @@
                 continue;
             };
             // What cannot be read is logged when the list itself is taken in.
-            if let Ok(entry) = roster::entry(&record.key, value) {
+            if let Ok(entry) = roster::decode_entry(&record.key, value) {
                 let instance = Arc::from(&*record.key);
                 self.heartbeats.heard(&instance, heartbeat(&entry), true);
             }
@@ -163,11 +163,11 @@
         let listed: HashSet<&str> = records.iter().map(|record| &*record.key).collect();
         let state = self.shared.state();
         let known = state.fleet.entries().map(|entry| Arc::clone(&entry.id));
-        let absent = known.filter(|id| !listed.contains(roster::instance(id)));
+        let absent = known.filter(|id| !listed.contains(roster::platform_id(id)));
         let absent: Vec<Arc<str>> = absent.collect();
         drop(state);
         for id in absent {
-            self.heartbeats.left(roster::instance(&id));
+            self.heartbeats.left(roster::platform_id(&id));
             self.miss(&id);
         }
         spdlog::info!("endpoints_read count={}", listed.len());
@@ -186,7 +186,7 @@
     }
 
     fn put(&mut self, instance: &str, value: &[u8]) {
-        let entry = match roster::entry(instance, value) {
+        let entry = match roster::decode_entry(instance, value) {
             Ok(entry) => entry,
             Err(error) => return self.pass_over(instance, &error),
         };
@@ -358,7 +358,7 @@
 
 /// Returns whether a later life of an endpoint is known: a peer's late word may be of an earlier one.
 fn is_over(state: &State, entry: &Entry) -> bool {
-    let lives = state.lives.of(roster::instance(&entry.id)).iter();
+    let lives = state.lives.of(roster::platform_id(&entry.id)).iter();
     let mut lives = lives.filter_map(|id| state.fleet.entry(id));
     lives.any(|other| other.born > entry.born)
 }
--- a/crates/ploverwick_gateway/src/controllers/table.rs
+++ b/crates/ploverwick_gateway/src/controllers/table.rs
@@ -6,7 +6,7 @@
 
 use ploverwick_platform::TABLE;
 use ploverwick_platform::store::Record;
-use ploverwick_platform::table::{Assembly, encode};
+use ploverwick_platform::table::{Assembler, encode};
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::feed::{Feed, News};
@@ -44,7 +44,7 @@
 /// Keeps the table in force in step with the topic, including across restores of the store.
 struct Follower {
     shared: Arc<Shared>,
-    assembly: Assembly,
+    assembly: Assembler,
     /// The store's era when the whole topic was last taken in.
     era: u64,
     /// The text of the table in force.
@@ -57,7 +57,7 @@
     fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
-            assembly: Assembly::default(),
+            assembly: Assembler::default(),
             era: 0,
             in_force: None,
             superseded: HashSet::new(),
@@ -125,7 +125,11 @@
         spdlog::info!("table_republishing era={} end={}", self.era, end);
         let shared = Arc::clone(&self.shared);
         tokio::spawn(async move {
-            if let Err(error) = shared.store.put_all(TABLE, &encode(&text), end).await {
+            if let Err(error) = shared
+                .store
+                .append_if_unchanged(TABLE, &encode(&text), end)
+                .await
+            {
                 spdlog::info!("table_republish_failed cause=\"{}\"", error);
             }
         });
--- a/crates/ploverwick_gateway/src/controllers/tenure.rs
+++ b/crates/ploverwick_gateway/src/controllers/tenure.rs
@@ -62,13 +62,13 @@
                 outage.works();
                 backoff.reset();
                 generation = membership.generation;
-                let grant = if membership.leads {
+                let grant = if membership.is_leader {
                     Grant::Held(membership.token)
                 } else {
                     Grant::Elsewhere
                 };
                 take(&shared, grant, asked);
-                let token = membership.leads.then_some(membership.token);
+                let token = membership.is_leader.then_some(membership.token);
                 if token.is_some() && token != written {
                     written = token;
                     tokio::spawn(instances::name_placer(Arc::clone(&shared)));
--- a/crates/ploverwick_gateway/src/filters/admit.rs
+++ b/crates/ploverwick_gateway/src/filters/admit.rs
@@ -41,7 +41,7 @@
     let route = Arc::clone(route);
     let call = request::read(&head.headers);
     let caller = identify::run(shared, &config, &route, &call.id, &head.headers)?;
-    let patience = call.patience.unwrap_or(route.timeout).min(route.timeout);
+    let patience = call.timeout.unwrap_or(route.timeout).min(route.timeout);
     let body = read(body, config.limits.body_bytes).await?;
     let service = route.service(rand::random::<f64>());
     let service = Arc::clone(service.expect("a route has a service"));
--- a/crates/ploverwick_gateway/src/filters/attempt.rs
+++ b/crates/ploverwick_gateway/src/filters/attempt.rs
@@ -186,7 +186,7 @@
 ) -> Next {
     let status = answered.parts.status;
     let state = answered.head.state;
-    if status.is_success() && !answered.head.signed {
+    if status.is_success() && !answered.head.is_signed {
         answered.flight.end(Outcome::Broken);
         return lost(task, target, history, "an answer without a signature");
     }
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -107,7 +107,7 @@
 fn respond(parts: &Parts, head: &Head, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = promise(parts.status, head);
-    *response.headers_mut() = answer::back(&parts.headers);
+    *response.headers_mut() = answer::forward(&parts.headers);
     response
 }
 
@@ -256,7 +256,7 @@
             }
             if let Sent::Answered(answered) = sent
                 && answered.parts.status.is_success()
-                && answered.head.signed
+                && answered.head.is_signed
             {
                 let Answered {
                     head,
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -129,7 +129,7 @@
         // Counted from the send and not from the client's request, which may have waited for a load.
         flight.latency(begun.elapsed());
     }
-    if head.foreign {
+    if head.is_for_other_attempt {
         // An answer to an earlier request: where this one's begins cannot be told any more.
         flight.end(Outcome::Error);
         return Sent::Lost("the answer is another request's".to_owned());
@@ -258,7 +258,7 @@
     let addition = Addition {
         endpoint: &target.entry.id,
         caller: caller.told(),
-        left: task.left(),
+        remaining: task.left(),
         version: target.copy.as_ref().map(|copy| copy.version),
         priority: task.call.model.is_some().then_some(task.terms.priority),
         after_event,
--- a/crates/ploverwick_gateway/src/filters/task.rs
+++ b/crates/ploverwick_gateway/src/filters/task.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
-use ploverwick_platform::request::{self, Call};
+use ploverwick_platform::request::{self, RequestInfo};
 use ploverwick_quarantine::{Fingerprint, Suspect};
 use ploverwick_routes::{Organisation, Route};
 use tokio::time::Instant;
@@ -44,7 +44,7 @@
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) call: Call,
+    pub(crate) call: RequestInfo,
     pub(crate) caller: Caller,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
@@ -89,7 +89,7 @@
     fn identity(&self) -> [&[u8]; 2] {
         match self.caller.organisation() {
             Some(organisation) => [b"organisation", organisation.name.as_bytes()],
-            None => request::credentials(&self.headers),
+            None => request::caller_credentials(&self.headers),
         }
     }
 
--- a/crates/ploverwick_gateway/src/front.rs
+++ b/crates/ploverwick_gateway/src/front.rs
@@ -89,7 +89,7 @@
 
 /// Serves one connection until it closes.
 async fn attend(shared: Arc<Shared>, stream: TcpStream) {
-    socket::watch_client(&stream);
+    socket::detect_dead_client(&stream);
     let limits = {
         let state = shared.state();
         state
--- a/crates/ploverwick_gateway/src/lives.rs
+++ b/crates/ploverwick_gateway/src/lives.rs
@@ -15,7 +15,7 @@
 impl Lives {
     /// Adds a life, if it is not known yet.
     pub(crate) fn add(&mut self, id: &Arc<str>) {
-        let instance = roster::instance(id);
+        let instance = roster::platform_id(id);
         match self.0.get_mut(instance) {
             Some(lives) if lives.contains(id) => {}
             Some(lives) => lives.push(Arc::clone(id)),
@@ -27,7 +27,7 @@
 
     /// Removes a life.
     pub(crate) fn remove(&mut self, id: &str) {
-        let instance = roster::instance(id);
+        let instance = roster::platform_id(id);
         let Some(lives) = self.0.get_mut(instance) else {
             return;
         };
--- a/crates/ploverwick_gateway/src/pool.rs
+++ b/crates/ploverwick_gateway/src/pool.rs
@@ -116,7 +116,7 @@
         Ok(stream) => stream.map_err(|error| error.to_string())?,
         Err(_) => return Err(format!("no connection within {CONNECT:?}")),
     };
-    socket::watch(&stream);
+    socket::detect_dead_peer(&stream);
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| error.to_string())?;
--- a/crates/ploverwick_gateway/src/table.rs
+++ b/crates/ploverwick_gateway/src/table.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result, bail};
 use ploverwick_platform::TABLE;
 use ploverwick_platform::store::{Error, Store};
-use ploverwick_platform::table::{Assembly, encode};
+use ploverwick_platform::table::{Assembler, encode};
 
 /// Partitions do not matter to the table's topic, which has one.
 const PARTITIONS: u32 = 1;
@@ -25,7 +25,7 @@
 /// Fails if the store does not answer.
 pub async fn show(store: SocketAddr) -> Result<Published> {
     let snapshot = Store::new(store, PARTITIONS).newest(TABLE).await?;
-    let mut assembly = Assembly::default();
+    let mut assembly = Assembler::default();
     let mut text = None;
     for record in &snapshot.records {
         text = assembly.take(record)?.or(text);
@@ -48,9 +48,9 @@
     }
     let records = encode(text);
     let store = Store::new(store, PARTITIONS);
-    match store.put_all(TABLE, &records, base).await {
+    match store.append_if_unchanged(TABLE, &records, base).await {
         Ok(()) => Ok(base + records.len() as u64),
-        Err(Error::Moved) => bail!(
+        Err(Error::Conflict) => bail!(
             "another table was published since version {base}; \
              take `table show`, merge, and publish with its version as the base"
         ),
