--- a/crates/ploverwick_gateway/tests/asked_pause.rs
+++ b/crates/ploverwick_gateway/tests/asked_pause.rs
@@ -8,8 +8,8 @@
 use common::{HOST, World, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask, Got};
-use ploverwick_platform_standin::endpoint::{Act, Endpoint};
+use ploverwick_platform_standin::client::{self, ClientRequest, ClientResponse};
+use ploverwick_platform_standin::endpoint::{Action, Endpoint};
 
 /// The pause that endpoints request.
 const PAUSE: Duration = Duration::from_secs(3);
@@ -22,7 +22,7 @@
 
 fn refuse_all(endpoint: &Endpoint) {
     let ms = u64::try_from(PAUSE.as_millis()).expect("a few seconds");
-    endpoint.script(&[Act::RefuseWithRetryAfter(ms); REFUSALS]);
+    endpoint.script(&[Action::RefuseWithRetryAfter(ms); REFUSALS]);
 }
 
 /// Sends requests one after another for `duration` and returns their responses.
@@ -31,11 +31,11 @@
     duration: Duration,
     path: &str,
     model: Option<&str>,
-) -> Result<Vec<Got>> {
+) -> Result<Vec<ClientResponse>> {
     let started = Instant::now();
     let mut got = Vec::new();
     while started.elapsed() < duration {
-        let mut ask = Ask::new(&format!("r{}-{path}", got.len()), HOST, path);
+        let mut ask = ClientRequest::new(&format!("r{}-{path}", got.len()), HOST, path);
         ask.model = model.map(str::to_owned);
         got.push(client::send(world.front, &ask).await?);
         tokio::time::sleep(Duration::from_millis(15)).await;
@@ -63,11 +63,11 @@
     let (a, b) = two_plain().await?;
     let world = World::earning(&[&a, &b], 1.0).await?;
     refuse_all(&a);
-    let before = a.asked();
+    let before = a.requests_received();
     let got = send_requests_for(&world, PAUSE, "/safe/", None).await?;
     let served = got.iter().filter(|got| got.status == StatusCode::OK);
     assert_that!(served.count(), eq(got.len()));
-    assert_that!(a.asked(), gt(before));
+    assert_that!(a.requests_received(), gt(before));
     assert_that!(count_in_pause(&a, before), le(MAX_IN_PAUSE));
     Ok(())
 }
@@ -79,7 +79,7 @@
     let world = World::with(&[&a, &b]).await?;
     let before = [&a, &b].map(|endpoint| {
         refuse_all(endpoint);
-        endpoint.asked()
+        endpoint.requests_received()
     });
     let got = send_requests_for(&world, PAUSE, "/once/", None).await?;
     let refused = got.iter().filter(|got| {
@@ -101,12 +101,12 @@
 async fn pause_ends() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::RefuseWithRetryAfter(700)]);
+    a.script(&[Action::RefuseWithRetryAfter(700)]);
     send_requests_for(&world, Duration::from_millis(300), "/safe/", None).await?;
     tokio::time::sleep(Duration::from_millis(700)).await;
-    let before = a.asked();
+    let before = a.requests_received();
     send_requests_for(&world, Duration::from_millis(600), "/safe/", None).await?;
-    assert_that!(a.asked(), gt(before));
+    assert_that!(a.requests_received(), gt(before));
     Ok(())
 }
 
@@ -119,9 +119,9 @@
     let world = World::earning(&[&a, &b], 1.0).await?;
     let model = Some("base/a1");
     send_requests_for(&world, Duration::from_millis(100), "/live/", model).await?;
-    let holder = if a.asked() > 0 { &a } else { &b };
+    let holder = if a.requests_received() > 0 { &a } else { &b };
     refuse_all(holder);
-    let before = holder.asked();
+    let before = holder.requests_received();
     let got = send_requests_for(&world, PAUSE, "/live/", model).await?;
     let served = got.iter().filter(|got| got.status == StatusCode::OK);
     assert_that!(served.count(), eq(got.len()));
@@ -142,7 +142,7 @@
         Some("base/a1"),
     )
     .await?;
-    let holder = if a.asked() > 0 { &a } else { &b };
+    let holder = if a.requests_received() > 0 { &a } else { &b };
     refuse_all(holder);
     send_requests_for(
         &world,
--- a/crates/ploverwick_gateway/tests/at_most_once.rs
+++ b/crates/ploverwick_gateway/tests/at_most_once.rs
@@ -6,14 +6,14 @@
 use common::{World, runs, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::endpoint::Act;
+use ploverwick_platform_standin::endpoint::Action;
 
 #[tokio::test]
 async fn vanished_is_unknown() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::Vanish]);
-    b.script(&[Act::Vanish]);
+    a.script(&[Action::Disconnect]);
+    b.script(&[Action::Disconnect]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::BAD_GATEWAY));
     assert_that!(runs(&[&a, &b], "r1"), eq(1));
@@ -24,8 +24,8 @@
 async fn refused_goes_on() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::earning(&[&a, &b], 2.0).await?;
-    a.script(&[Act::Refuse]);
-    b.script(&[Act::Refuse]);
+    a.script(&[Action::Refuse]);
+    b.script(&[Action::Refuse]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::OK));
     assert_that!(runs(&[&a, &b], "r1"), eq(1));
@@ -36,8 +36,8 @@
 async fn refused_by_all() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::Refuse; 8]);
-    b.script(&[Act::Refuse; 8]);
+    a.script(&[Action::Refuse; 8]);
+    b.script(&[Action::Refuse; 8]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     assert_that!(got.retry_after, some(anything()));
@@ -50,8 +50,8 @@
 async fn unproved_promise() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::Overload]);
-    b.script(&[Act::Overload]);
+    a.script(&[Action::Unavailable]);
+    b.script(&[Action::Unavailable]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::BAD_GATEWAY));
     assert_that!(runs(&[&a, &b], "r1"), eq(1));
@@ -62,7 +62,12 @@
 async fn idempotent_tries_another() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::earning(&[&a, &b], 2.0).await?;
-    for act in [Act::Vanish, Act::Fail, Act::Unsigned, Act::Foreign] {
+    for act in [
+        Action::Disconnect,
+        Action::Fail,
+        Action::Unsigned,
+        Action::WrongAttemptId,
+    ] {
         a.script(&[act]);
         b.script(&[act]);
         let id = format!("{act:?}");
@@ -83,8 +88,8 @@
 async fn own_failure_passes() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::Fail]);
-    b.script(&[Act::Fail]);
+    a.script(&[Action::Fail]);
+    b.script(&[Action::Fail]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::INTERNAL_SERVER_ERROR));
     assert_that!(got.is_signed, eq(true));
@@ -96,7 +101,7 @@
 async fn strange_success_withheld() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    for act in [Act::Unsigned, Act::Foreign] {
+    for act in [Action::Unsigned, Action::WrongAttemptId] {
         a.script(&[act]);
         b.script(&[act]);
         let id = format!("{act:?}");
@@ -111,8 +116,8 @@
 async fn timeout_is_answered() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::Hang]);
-    b.script(&[Act::Hang]);
+    a.script(&[Action::Hang]);
+    b.script(&[Action::Hang]);
     let got = world.ask("r1", "/slow/").await?;
     assert_that!(got.status, eq(StatusCode::GATEWAY_TIMEOUT));
     assert_that!(runs(&[&a, &b], "r1"), eq(1));
--- a/crates/ploverwick_gateway/tests/client_leaves.rs
+++ b/crates/ploverwick_gateway/tests/client_leaves.rs
@@ -7,11 +7,11 @@
 use anyhow::Result;
 use common::{HOST, World, two_plain};
 use googletest::prelude::*;
-use ploverwick_platform_standin::client::{self, Ask};
-use ploverwick_platform_standin::endpoint::{Act, Endpoint};
+use ploverwick_platform_standin::client::{self, ClientRequest};
+use ploverwick_platform_standin::endpoint::{Action, Endpoint};
 
 /// Sends a request and leaves once an endpoint runs it.
-async fn ask_and_leave(world: &World, ask: Ask, endpoint: &Endpoint) {
+async fn ask_and_leave(world: &World, ask: ClientRequest, endpoint: &Endpoint) {
     let front = world.front;
     let before = endpoint.runs().len();
     let client = tokio::spawn(async move { client::send(front, &ask).await });
@@ -31,8 +31,8 @@
 async fn plain_run_ends() -> Result<()> {
     let (a, _b) = two_plain().await?;
     let world = World::with(&[&a]).await?;
-    a.script(&[Act::Hang]);
-    ask_and_leave(&world, Ask::new("r1", HOST, "/once/"), &a).await;
+    a.script(&[Action::Hang]);
+    ask_and_leave(&world, ClientRequest::new("r1", HOST, "/once/"), &a).await;
     until_abandoned(&a, 1).await;
     // Nothing of it is sent again.
     assert_that!(common::runs(&[&a], "r1"), eq(1));
@@ -44,8 +44,8 @@
     let engine = Endpoint::start("i-a", "lm", Some("base"), "d1").await?;
     let world = World::with(&[&engine]).await?;
     world.stream("r1", "/live/", "a1").await?;
-    engine.script(&[Act::Hang]);
-    let ask = Ask::new("r2", HOST, "/live/").model("base/a1");
+    engine.script(&[Action::Hang]);
+    let ask = ClientRequest::new("r2", HOST, "/live/").model("base/a1");
     ask_and_leave(&world, ask, &engine).await;
     until_abandoned(&engine, 1).await;
     Ok(())
--- a/crates/ploverwick_gateway/tests/common/mod.rs
+++ b/crates/ploverwick_gateway/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use anyhow::Result;
 use ploverwick_gateway::Daemon;
 use ploverwick_platform::settings::Settings;
-use ploverwick_platform_standin::client::{self, Ask, Got};
+use ploverwick_platform_standin::client::{self, ClientRequest, ClientResponse};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -83,9 +83,12 @@
     async fn until_listed(&self, endpoints: &[&Endpoint]) {
         let plain: Vec<_> = endpoints.iter().filter(|e| e.service() == "app").collect();
         let mut number = 0;
-        while plain.iter().any(|endpoint| endpoint.asked() == 0) {
+        while plain
+            .iter()
+            .any(|endpoint| endpoint.requests_received() == 0)
+        {
             number += 1;
-            let ask = Ask::new(&format!("warm-{number}"), HOST, "/safe/warm");
+            let ask = ClientRequest::new(&format!("warm-{number}"), HOST, "/safe/warm");
             drop(client::send(self.front, &ask).await);
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -98,12 +101,12 @@
         Ok(())
     }
 
-    pub async fn ask(&self, id: &str, path: &str) -> Result<Got> {
-        client::send(self.front, &Ask::new(id, HOST, path)).await
+    pub async fn ask(&self, id: &str, path: &str) -> Result<ClientResponse> {
+        client::send(self.front, &ClientRequest::new(id, HOST, path)).await
     }
 
-    pub async fn stream(&self, id: &str, path: &str, adapter: &str) -> Result<Got> {
-        let ask = Ask::new(id, HOST, path).model(&format!("base/{adapter}"));
+    pub async fn stream(&self, id: &str, path: &str, adapter: &str) -> Result<ClientResponse> {
+        let ask = ClientRequest::new(id, HOST, path).model(&format!("base/{adapter}"));
         client::send(self.front, &ask).await
     }
 
--- a/crates/ploverwick_gateway/tests/fatal_request.rs
+++ b/crates/ploverwick_gateway/tests/fatal_request.rs
@@ -17,9 +17,9 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_gateway::quarantine;
-use ploverwick_platform_standin::client::{self, Ask, Got};
-use ploverwick_platform_standin::endpoint::{Act, Endpoint};
-use ploverwick_platform_standin::fragile::{FATAL, Fragile};
+use ploverwick_platform_standin::client::{self, ClientRequest, ClientResponse};
+use ploverwick_platform_standin::crashing::{CrashingEndpoint, FATAL};
+use ploverwick_platform_standin::endpoint::{Action, Endpoint};
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
 
@@ -37,7 +37,7 @@
 /// Endpoints of one service and instances in two failure domains before them.
 struct World {
     store: Store,
-    endpoints: Vec<Fragile>,
+    endpoints: Vec<CrashingEndpoint>,
     port: u16,
     /// The last number of the last address that an instance has.
     host: u8,
@@ -52,7 +52,7 @@
         for number in 0..ENDPOINTS {
             let domain = if number % 2 == 0 { "d1" } else { "d2" };
             let name = format!("i-{number}");
-            endpoints.push(Fragile::start(&name, service, domain, &store).await?);
+            endpoints.push(CrashingEndpoint::start(&name, service, domain, &store).await?);
         }
         let port = free_port()?;
         let mut world = Self {
@@ -93,7 +93,7 @@
         instance.served.abort();
     }
 
-    async fn send(&self, instance: usize, ask: &Ask) -> Result<Got> {
+    async fn send(&self, instance: usize, ask: &ClientRequest) -> Result<ClientResponse> {
         client::send(self.instances[instance].front, ask).await
     }
 
@@ -109,7 +109,7 @@
     }
 
     fn ended(&self) -> u64 {
-        self.endpoints.iter().map(Fragile::ended).sum()
+        self.endpoints.iter().map(CrashingEndpoint::crashes).sum()
     }
 
     fn runs(&self, text: &str) -> usize {
@@ -118,8 +118,8 @@
     }
 }
 
-fn ask(id: &str, path: &str, body: &str) -> Ask {
-    Ask::new(id, HOST, path).body(body.to_owned())
+fn ask(id: &str, path: &str, body: &str) -> ClientRequest {
+    ClientRequest::new(id, HOST, path).body(body.to_owned())
 }
 
 #[tokio::test]
@@ -177,7 +177,7 @@
 async fn breaks_prove_nothing() -> Result<()> {
     let endpoint = Endpoint::start("i-a", "app", None, "d1").await?;
     let world = common::World::with(&[&endpoint]).await?;
-    endpoint.script(&[Act::Vanish; 6]);
+    endpoint.script(&[Action::Disconnect; 6]);
     for number in 0..6 {
         let ask = ask(&format!("broken-{number}"), "/once/", "body");
         let got = client::send(world.front, &ask).await?;
--- a/crates/ploverwick_gateway/tests/few_readers.rs
+++ b/crates/ploverwick_gateway/tests/few_readers.rs
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_platform::{INSTANCES, OPERATOR, TABLE, group};
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -49,7 +49,7 @@
 /// Waits until all instances serve a path that came with a configuration.
 async fn until_served(instances: &[Instance], path: &str) -> Result<()> {
     for instance in instances {
-        let ask = Ask::new("new", HOST, path);
+        let ask = ClientRequest::new("new", HOST, path);
         while client::send(instance.front, &ask).await?.status != StatusCode::OK {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -96,10 +96,10 @@
 async fn few_read() -> Result<()> {
     let (store, _endpoint, _instances) = world().await?;
     for topic in [OPERATOR, TABLE, INSTANCES] {
-        while store.waiting(topic) < 2 {
+        while store.waiting_reads(topic) < 2 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert_that!(store.waiting(topic), le(3), "{topic}");
+        assert_that!(store.waiting_reads(topic), le(3), "{topic}");
     }
     Ok(())
 }
@@ -130,11 +130,11 @@
         instances.push(start(name, host, port, &store).await?);
     }
     tokio::time::sleep(SETTLED).await;
-    let whole = store.whole_reads(OPERATOR) + store.whole_reads(TABLE);
+    let whole = store.snapshot_reads(OPERATOR) + store.snapshot_reads(TABLE);
     instances.push(start("d", 4, port, &store).await?);
     until_served(&instances[3..], "/first/").await?;
     assert_that!(
-        store.whole_reads(OPERATOR) + store.whole_reads(TABLE),
+        store.snapshot_reads(OPERATOR) + store.snapshot_reads(TABLE),
         eq(whole)
     );
     Ok(())
@@ -156,7 +156,7 @@
     // The first by name starts again: whoever comes first has nobody to ask while the store answers.
     let first = instances.remove(0);
     first.stop().await?;
-    store.away(true);
+    store.set_unavailable(true);
     let again = start("a", 1, port, &store).await?;
     until_served(&[again], "/first/").await?;
     Ok(())
@@ -184,7 +184,7 @@
         instances.push(started.await??);
     }
     until_served(&instances, "/first/").await?;
-    assert_that!(store.whole_reads(OPERATOR), lt(NAMES.len()));
+    assert_that!(store.snapshot_reads(OPERATOR), lt(NAMES.len()));
     Ok(())
 }
 
--- a/crates/ploverwick_gateway/tests/foreign_records.rs
+++ b/crates/ploverwick_gateway/tests/foreign_records.rs
@@ -70,8 +70,8 @@
         let got = world.ask(&format!("r{number}"), "/safe/").await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(stranger.asked(), eq(0));
-    assert_that!(a.asked() + b.asked(), ge(20));
+    assert_that!(stranger.requests_received(), eq(0));
+    assert_that!(a.requests_received() + b.requests_received(), ge(20));
     Ok(())
 }
 
@@ -91,8 +91,8 @@
         let got = world.ask(&format!("r{number}"), "/safe/").await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(stranger.asked(), eq(0));
-    assert_that!(a.asked(), gt(0));
-    assert_that!(b.asked(), gt(0));
+    assert_that!(stranger.requests_received(), eq(0));
+    assert_that!(a.requests_received(), gt(0));
+    assert_that!(b.requests_received(), gt(0));
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/fresh_budget.rs
+++ b/crates/ploverwick_gateway/tests/fresh_budget.rs
@@ -10,14 +10,14 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_platform::INSTANCES;
-use ploverwick_platform_standin::endpoint::Act;
+use ploverwick_platform_standin::endpoint::Action;
 
 #[tokio::test]
 async fn nothing_earned_refuses() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::earning(&[&a, &b], 0.0).await?;
-    a.script(&[Act::Refuse]);
-    b.script(&[Act::Refuse]);
+    a.script(&[Action::Refuse]);
+    b.script(&[Action::Refuse]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     assert_that!(got.retry_after, some(anything()));
--- a/crates/ploverwick_gateway/tests/fresh_limits.rs
+++ b/crates/ploverwick_gateway/tests/fresh_limits.rs
@@ -18,7 +18,7 @@
 use http::StatusCode;
 use ploverwick_gateway::table;
 use ploverwick_platform::{INSTANCES, TABLE};
-use ploverwick_platform_standin::client::Got;
+use ploverwick_platform_standin::client::ClientResponse;
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -38,7 +38,7 @@
 }
 
 /// Asks for an adapter until there is an answer that is not "try again soon" for want of knowledge.
-async fn settled(world: &World, id: &str, adapter: &str) -> Result<Got> {
+async fn settled(world: &World, id: &str, adapter: &str) -> Result<ClientResponse> {
     for number in 0.. {
         let got = world
             .stream(&format!("{id}-{number}"), "/live/", adapter)
@@ -104,13 +104,13 @@
 #[tokio::test]
 async fn sharers_are_awaited() -> Result<()> {
     let (store, engine) = limited().await?;
-    store.hide(INSTANCES, true);
+    store.set_unreadable(INSTANCES, true);
     let world = World::of(store, true).await?;
     world.until_ready(true).await?;
     let got = settled(&world, "r", "a1").await?;
     assert_that!(got.status, eq(StatusCode::TOO_MANY_REQUESTS));
     assert_that!(engine.runs(), is_empty());
-    world.store.hide(INSTANCES, false);
+    world.store.set_unreadable(INSTANCES, false);
     admitted(&world).await?;
     Ok(())
 }
@@ -118,14 +118,14 @@
 #[tokio::test]
 async fn table_is_awaited() -> Result<()> {
     let (store, engine) = limited().await?;
-    store.hide(TABLE, true);
+    store.set_unreadable(TABLE, true);
     let world = World::of(store, true).await?;
     // Long enough for all other topics to be read.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let got = world.stream("r1", "/live/", "a1").await?;
     assert_that!(got.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     assert_that!(engine.runs(), is_empty());
-    world.store.hide(TABLE, false);
+    world.store.set_unreadable(TABLE, false);
     admitted(&world).await?;
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/late_beats.rs
+++ b/crates/ploverwick_gateway/tests/late_beats.rs
@@ -16,7 +16,7 @@
 use common::{HOST, Instance, World, free_port, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -57,7 +57,11 @@
 
 async fn ask(front: SocketAddr, times: usize) -> Result<()> {
     for number in 0..times {
-        client::send(front, &Ask::new(&format!("r{number}"), HOST, "/safe/")).await?;
+        client::send(
+            front,
+            &ClientRequest::new(&format!("r{number}"), HOST, "/safe/"),
+        )
+        .await?;
     }
     Ok(())
 }
@@ -73,8 +77,8 @@
     world.until_ready(true).await?;
     tokio::time::sleep(HEARD).await;
     ask(world.front, 20).await?;
-    assert_that!(a.asked(), eq(0));
-    assert_that!(b.asked(), gt(0));
+    assert_that!(a.requests_received(), eq(0));
+    assert_that!(b.requests_received(), gt(0));
     Ok(())
 }
 
@@ -102,10 +106,10 @@
     tokio::time::sleep(HEARD).await;
     reader.stop();
     tokio::time::sleep(HEARD).await;
-    let before = a.asked();
+    let before = a.requests_received();
     ask(front, 20).await?;
-    assert_that!(a.asked(), eq(before));
-    assert_that!(b.asked(), gt(0));
+    assert_that!(a.requests_received(), eq(before));
+    assert_that!(b.requests_received(), gt(0));
     Ok(())
 }
 
@@ -123,6 +127,6 @@
     tokio::time::sleep(SILENT).await;
     let got = world.ask("late", "/safe/").await?;
     assert_that!(got.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-    assert_that!(a.asked(), eq(0));
+    assert_that!(a.requests_received(), eq(0));
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/leaving.rs
+++ b/crates/ploverwick_gateway/tests/leaving.rs
@@ -8,7 +8,7 @@
 use common::{HOST, World, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 
 /// Longer than the pause between two reads of the list of endpoints.
@@ -21,11 +21,11 @@
     world.store.list(a.id(), &a.entry("draining"));
     // The list is read within the drain time.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         world.ask(&format!("r{number}"), "/safe/").await?;
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -35,11 +35,11 @@
     let world = World::with(&[&a, &b]).await?;
     world.store.unlist(a.id());
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         world.ask(&format!("r{number}"), "/safe/").await?;
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -50,18 +50,18 @@
     let world = World::with(&[&a, &b]).await?;
     world.store.list(a.id(), &a.entry("draining"));
     tokio::time::sleep(READ).await;
-    let before = a.asked();
-    world.store.away(true);
+    let before = a.requests_received();
+    world.store.set_unavailable(true);
     for number in 0..10 {
         world.ask(&format!("away-{number}"), "/safe/x").await?;
     }
     world.store.list(a.id(), &a.entry("ready"));
-    world.store.away(false);
+    world.store.set_unavailable(false);
     tokio::time::sleep(READ).await;
     for number in 0..10 {
         world.ask(&format!("back-{number}"), "/safe/x").await?;
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -69,7 +69,7 @@
 async fn serves_without_store() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    world.store.away(true);
+    world.store.set_unavailable(true);
     for number in 0..20 {
         let got = world.ask(&format!("r{number}"), "/once/").await?;
         assert_that!(got.status, eq(StatusCode::OK));
@@ -82,10 +82,10 @@
 #[tokio::test]
 async fn starts_without_store() -> Result<()> {
     let world = World::bare().await?;
-    world.store.away(true);
+    world.store.set_unavailable(true);
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_that!(client::is_ready(world.ready).await?, eq(false));
-    world.store.away(false);
+    world.store.set_unavailable(false);
     world
         .store
         .configure(&ploverwick_platform_standin::settings::config(1));
@@ -97,7 +97,7 @@
     let (a, b) = two_plain().await?;
     let mut world = World::with(&[&a, &b]).await?;
     let mut kept = client::Connection::open(world.front).await?;
-    let ask = |id: &str| Ask::new(id, HOST, "/once/");
+    let ask = |id: &str| ClientRequest::new(id, HOST, "/once/");
     kept.send(&ask("before")).await?;
     world.stop();
     world.until_ready(false).await?;
@@ -127,11 +127,11 @@
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     world.store.list(a.id(), &beat(&a, "ready", 6));
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         world.ask(&format!("r{number}"), "/safe/").await?;
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -146,17 +146,17 @@
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     world.store.list(a.id(), &beat(&a, "ready", 7));
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         world.ask(&format!("r{number}"), "/safe/").await?;
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     // A newer one does: the endpoint had lapsed and is well.
     world.store.list(a.id(), &beat(&a, "ready", 8));
     tokio::time::sleep(Duration::from_millis(1_200)).await;
     for number in 0..20 {
         world.ask(&format!("back-{number}"), "/safe/").await?;
     }
-    assert_that!(a.asked(), gt(before));
+    assert_that!(a.requests_received(), gt(before));
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/named_limit.rs
+++ b/crates/ploverwick_gateway/tests/named_limit.rs
@@ -16,7 +16,7 @@
 use common::{HOST, Instance, free_port};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask, Got};
+use ploverwick_platform_standin::client::{self, ClientRequest, ClientResponse};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -93,9 +93,9 @@
     }
 
     /// Asks the next instance.
-    async fn ask(&mut self, path: &str, model: Option<&str>) -> Result<Got> {
+    async fn ask(&mut self, path: &str, model: Option<&str>) -> Result<ClientResponse> {
         self.asked += 1;
-        let mut ask = Ask::new(&format!("r{}", self.asked), HOST, path);
+        let mut ask = ClientRequest::new(&format!("r{}", self.asked), HOST, path);
         ask.model = model.map(str::to_owned);
         let instance = &self.instances[self.asked % self.instances.len()];
         client::send(instance.front, &ask).await
@@ -107,7 +107,7 @@
         time: Duration,
         path: &str,
         model: Option<&str>,
-    ) -> Result<Vec<Got>> {
+    ) -> Result<Vec<ClientResponse>> {
         let begun = Instant::now();
         let mut got = Vec::new();
         while begun.elapsed() < time {
@@ -137,7 +137,7 @@
 #[tokio::test]
 async fn limit_holds_over_all() -> Result<()> {
     let mut world = World::start("app", None, 4).await?;
-    world.endpoints[0].limit(Some("2.5"));
+    world.endpoints[0].set_limit(Some("2.5"));
     world.ask_for(TOLD, "/safe/", None).await?;
     let named = Instant::now() + TOLD;
     let got = world.ask_for(WINDOW + TOLD * 3, "/safe/", None).await?;
@@ -159,7 +159,7 @@
 async fn all_limited_refuses() -> Result<()> {
     let mut world = World::start("app", None, 2).await?;
     for endpoint in &world.endpoints {
-        endpoint.limit(Some("2"));
+        endpoint.set_limit(Some("2"));
     }
     world.ask_for(TOLD, "/once/", None).await?;
     let named = Instant::now() + TOLD;
@@ -184,18 +184,18 @@
 #[tokio::test]
 async fn start_is_told() -> Result<()> {
     let mut world = World::start("app", None, 4).await?;
-    world.endpoints[0].limit(Some("0"));
+    world.endpoints[0].set_limit(Some("0"));
     world.ask_for(TOLD * 2, "/safe/", None).await?;
-    let before = world.endpoints[0].asked();
+    let before = world.endpoints[0].requests_received();
     world.restart(1).await?;
     tokio::time::sleep(TOLD).await;
     for _ in 0..20 {
         let instance = world.instances.last().expect("one has just started");
-        let ask = Ask::new("started", HOST, "/safe/");
+        let ask = ClientRequest::new("started", HOST, "/safe/");
         let got = client::send(instance.front, &ask).await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(world.endpoints[0].asked(), eq(before));
+    assert_that!(world.endpoints[0].requests_received(), eq(before));
     Ok(())
 }
 
@@ -203,13 +203,13 @@
 #[tokio::test]
 async fn lifted_is_heard() -> Result<()> {
     let mut world = World::start("app", None, 4).await?;
-    world.endpoints[0].limit(Some("2.5"));
+    world.endpoints[0].set_limit(Some("2.5"));
     world.ask_for(TOLD * 3, "/safe/", None).await?;
-    world.endpoints[0].limit(None);
+    world.endpoints[0].set_limit(None);
     world.ask_for(TOLD * 4, "/safe/", None).await?;
-    let before = world.endpoints[0].asked();
+    let before = world.endpoints[0].requests_received();
     let got = world.ask_for(TOLD * 4, "/safe/", None).await?;
-    let regained = world.endpoints[0].asked() - before;
+    let regained = world.endpoints[0].requests_received() - before;
     assert_that!(regained, ge(got.len() / 8));
     Ok(())
 }
@@ -219,9 +219,9 @@
     let mut world = World::start("lm", Some("base"), 4).await?;
     let model = Some("base/a1");
     world.ask_for(TOLD, "/live/", model).await?;
-    let holder = world.endpoints.iter().max_by_key(|e| e.asked());
+    let holder = world.endpoints.iter().max_by_key(|e| e.requests_received());
     let holder = holder.expect("there are endpoints").clone();
-    holder.limit(Some("1.5"));
+    holder.set_limit(Some("1.5"));
     world.ask_for(TOLD, "/live/", model).await?;
     let named = Instant::now() + TOLD;
     let got = world.ask_for(WINDOW + TOLD * 3, "/live/", model).await?;
--- a/crates/ploverwick_gateway/tests/organisation_keys.rs
+++ b/crates/ploverwick_gateway/tests/organisation_keys.rs
@@ -6,7 +6,7 @@
 use common::{HOST, World, runs};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use serde_json::{Value, json};
@@ -35,8 +35,8 @@
     Ok((world, endpoint))
 }
 
-fn ask(id: &str) -> Ask {
-    Ask::new(id, HOST, "/once/")
+fn ask(id: &str) -> ClientRequest {
+    ClientRequest::new(id, HOST, "/once/")
 }
 
 #[gtest]
@@ -92,8 +92,8 @@
 #[tokio::test]
 async fn exempt_needs_none() -> Result<()> {
     let (world, endpoint) = plain(&[("one", &[KEY], json!({}))]).await?;
-    let bare = Ask::new("bare", HOST, "/slow/").header("Ploverwick-Tenant", "one");
-    let wrong = Ask::new("wrong", HOST, "/slow/").key("wrong");
+    let bare = ClientRequest::new("bare", HOST, "/slow/").header("Ploverwick-Tenant", "one");
+    let wrong = ClientRequest::new("wrong", HOST, "/slow/").key("wrong");
     for ask in [bare, wrong] {
         let got = client::send(world.front, &ask).await?;
         expect_that!(got.status, eq(StatusCode::OK));
@@ -115,7 +115,9 @@
     ];
     let world = world(&[&engine], &config(2, &organisations)).await?;
     for (id, key) in [("r1", KEY), ("r2", "of-two")] {
-        let ask = Ask::new(id, HOST, "/live/").model("base/a1").key(key);
+        let ask = ClientRequest::new(id, HOST, "/live/")
+            .model("base/a1")
+            .key(key);
         let got = client::send(world.front, &ask).await?;
         expect_that!(got.status, eq(StatusCode::OK));
     }
@@ -151,17 +153,19 @@
 async fn waits_in_vain() -> Result<()> {
     let engine = Endpoint::start("i-a", "lm", Some("base"), "d1").await?;
     let world = world(&[&engine], &config(2, &[("one", &[KEY], json!({}))])).await?;
-    engine.busy(true);
-    let ask = Ask::new("r1", HOST, "/live/").model("base/a1").key(KEY);
+    engine.set_busy(true);
+    let ask = ClientRequest::new("r1", HOST, "/live/")
+        .model("base/a1")
+        .key(KEY);
     let front = world.front;
     let waiting = tokio::spawn(async move { client::send(front, &ask).await });
     tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     world
         .store
         .configure(&config(3, &[("one", &[], json!({}))]));
-    let probe = || Ask::new("probe", HOST, "/safe/").key(KEY);
+    let probe = || ClientRequest::new("probe", HOST, "/safe/").key(KEY);
     while client::send(world.front, &probe()).await?.status != StatusCode::UNAUTHORIZED {}
-    engine.busy(false);
+    engine.set_busy(false);
     let got = waiting.await??;
     expect_that!(got.status, eq(StatusCode::UNAUTHORIZED));
     expect_that!(runs(&[&engine], "r1"), eq(0));
--- a/crates/ploverwick_gateway/tests/organisation_quotas.rs
+++ b/crates/ploverwick_gateway/tests/organisation_quotas.rs
@@ -9,8 +9,8 @@
 use common::{HOST, Instance, World, free_port, runs};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask, Got};
-use ploverwick_platform_standin::endpoint::{Act, Endpoint};
+use ploverwick_platform_standin::client::{self, ClientRequest, ClientResponse};
+use ploverwick_platform_standin::endpoint::{Action, Endpoint};
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
 use serde_json::{Value, json};
@@ -42,8 +42,10 @@
     Ok((world, endpoint))
 }
 
-async fn ask(world: &World, id: &str, tokens: u32) -> Result<Got> {
-    let ask = Ask::new(id, HOST, "/once/").key(KEY).tokens(tokens, 0);
+async fn ask(world: &World, id: &str, tokens: u32) -> Result<ClientResponse> {
+    let ask = ClientRequest::new(id, HOST, "/once/")
+        .key(KEY)
+        .tokens(tokens, 0);
     client::send(world.front, &ask).await
 }
 
@@ -100,12 +102,16 @@
     world.store.configure(&config);
     while world.ask("before", "/safe/").await?.status != StatusCode::UNAUTHORIZED {}
     for (name, _) in &wrong {
-        let ask = Ask::new(name, HOST, "/once/").key(name).tokens(1, 0);
+        let ask = ClientRequest::new(name, HOST, "/once/")
+            .key(name)
+            .tokens(1, 0);
         let got = client::send(world.front, &ask).await?;
         expect_that!(got.body, starts_with("PW3014"), "{name}");
         expect_that!(runs(&[&endpoint], name), eq(0));
     }
-    let ask = Ask::new("zero", HOST, "/once/").key("zero").tokens(9, 0);
+    let ask = ClientRequest::new("zero", HOST, "/once/")
+        .key("zero")
+        .tokens(9, 0);
     let got = client::send(world.front, &ask).await?;
     expect_that!(got.status, eq(StatusCode::OK));
     Ok(())
@@ -119,7 +125,7 @@
     const COST: u32 = 150;
     let (world, endpoint) = world(quota(200)).await?;
     let refused = async |id: String| {
-        endpoint.script(&[Act::Refuse; 4]);
+        endpoint.script(&[Action::Refuse; 4]);
         let got = ask(&world, &id, COST).await?;
         Ok::<_, anyhow::Error>(got.body.starts_with("PW3008"))
     };
@@ -152,7 +158,11 @@
         instances.push(Instance::start(settings).await?);
     }
     tokio::time::sleep(WINDOW * 3).await;
-    let ask = |id: &str, tokens: u32| Ask::new(id, HOST, "/once/").key(KEY).tokens(tokens, 0);
+    let ask = |id: &str, tokens: u32| {
+        ClientRequest::new(id, HOST, "/once/")
+            .key(KEY)
+            .tokens(tokens, 0)
+    };
     let last = instances.last().expect("there are six").front;
     let got = client::send(last, &ask("most", 7_000)).await?;
     expect_that!(got.status, eq(StatusCode::OK), "{}", got.body);
--- a/crates/ploverwick_gateway/tests/placer_restart.rs
+++ b/crates/ploverwick_gateway/tests/placer_restart.rs
@@ -33,14 +33,14 @@
         None => r#"{"ip":"127.0.0.1","domain":"d1"}"#.to_owned(),
     };
     store.write(INSTANCES, "one", line.as_bytes());
-    store.away(true);
+    store.set_unavailable(true);
     let world = World::changed(store, |settings| {
         settings.first_start = false;
         change(settings);
     })
     .await?;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    world.store.away(false);
+    world.store.set_unavailable(false);
     world.until_ready(true).await?;
     Ok((world, engine))
 }
--- a/crates/ploverwick_gateway/tests/replaced_versions.rs
+++ b/crates/ploverwick_gateway/tests/replaced_versions.rs
@@ -17,8 +17,8 @@
 use common::{HOST, Instance, World, free_port, runs};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
-use ploverwick_platform_standin::endpoint::{Act, Endpoint};
+use ploverwick_platform_standin::client::{self, ClientRequest};
+use ploverwick_platform_standin::endpoint::{Action, Endpoint};
 use ploverwick_platform_standin::proxy::Proxy;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -44,7 +44,7 @@
     world.served.await?;
     entry["models"][0]["adapters"] = json!(["a1@1"]);
     store.list(engine.id(), &entry);
-    engine.busy(true);
+    engine.set_busy(true);
     Ok(engine)
 }
 
@@ -144,9 +144,9 @@
     Ok((front, proxy))
 }
 
-fn ask(id: &str) -> Ask {
-    let ask = Ask::new(id, HOST, "/live/").model("base/a1");
-    ask.patience(Duration::from_secs(11))
+fn ask(id: &str) -> ClientRequest {
+    let ask = ClientRequest::new(id, HOST, "/live/").model("base/a1");
+    ask.timeout(Duration::from_secs(11))
 }
 
 /// An instance whose connection to the store is silent hears of a declaration from its peers.
@@ -191,7 +191,7 @@
     let engine = holder(&store).await?;
     let bound = Duration::from_secs(9);
     let (front, proxy) = behind_proxy(&store, bound).await?;
-    engine.script(&[Act::Hang]);
+    engine.script(&[Action::Hang]);
     proxy.silence();
     let sent = tokio::spawn(async move { client::send(front, &ask("r1")).await });
     while runs(&[&engine], "r1") == 0 {
--- a/crates/ploverwick_gateway/tests/request_path.rs
+++ b/crates/ploverwick_gateway/tests/request_path.rs
@@ -6,14 +6,14 @@
 use common::{HOST, World, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::settings;
 
 #[tokio::test]
 async fn passes_unchanged() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    let ask = Ask::new("r1", HOST, "/once/x/y?z=1&z=2").body("some bytes");
+    let ask = ClientRequest::new("r1", HOST, "/once/x/y?z=1&z=2").body("some bytes");
     let got = client::send(world.front, &ask).await?;
     assert_that!(got.status, eq(StatusCode::OK));
     assert_that!(got.body, eq("the endpoint's bytes"));
@@ -22,7 +22,7 @@
     let run = all.iter().find(|run| run.id == "r1").expect("it ran");
     assert_that!(run.path, eq("/once/x/y?z=1&z=2"));
     assert_that!(&run.body[..], eq(b"some bytes"));
-    assert_that!(run.left_ms, some(le(2_000)));
+    assert_that!(run.remaining_ms, some(le(2_000)));
     Ok(())
 }
 
@@ -34,7 +34,7 @@
         world.ask("r1", "/nothing/").await?.status,
         eq(StatusCode::NOT_FOUND)
     );
-    let ask = Ask::new("r2", "other.example", "/safe/");
+    let ask = ClientRequest::new("r2", "other.example", "/safe/");
     let got = client::send(world.front, &ask).await?;
     assert_that!(got.status, eq(StatusCode::NOT_FOUND));
     Ok(())
@@ -44,7 +44,7 @@
 async fn long_body() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    let ask = Ask::new("r1", HOST, "/once/").body(vec![b'x'; 1_001]);
+    let ask = ClientRequest::new("r1", HOST, "/once/").body(vec![b'x'; 1_001]);
     let got = client::send(world.front, &ask).await?;
     assert_that!(got.status, eq(StatusCode::PAYLOAD_TOO_LARGE));
     assert_that!(common::runs(&[&a, &b], "r1"), eq(0));
@@ -76,7 +76,7 @@
     let world = World::with(&[&a, &b]).await?;
     let mut connection = client::Connection::open(world.front).await?;
     for number in 0..5 {
-        let ask = Ask::new(&format!("r{number}"), HOST, "/safe/");
+        let ask = ClientRequest::new(&format!("r{number}"), HOST, "/safe/");
         assert_that!(connection.send(&ask).await?.status, eq(StatusCode::OK));
     }
     Ok(())
--- a/crates/ploverwick_gateway/tests/restored_store.rs
+++ b/crates/ploverwick_gateway/tests/restored_store.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use ploverwick_gateway::table;
 use ploverwick_platform::{self as platform, INSTANCES, OPERATOR, ROSTER, TABLE};
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -35,17 +35,17 @@
 
 /// Makes the store unavailable and restores it without the last records of a topic.
 async fn restore(store: &Store, topic: &str, records: usize) {
-    store.away(true);
+    store.set_unavailable(true);
     tokio::time::sleep(AWAY).await;
     store.restore(topic, records);
-    store.away(false);
+    store.set_unavailable(false);
 }
 
 /// Returns the indices of the instances that do not serve a path.
 async fn without_route(instances: &[Instance], path: &str) -> Result<Vec<usize>> {
     let mut without = Vec::new();
     for (index, instance) in instances.iter().enumerate() {
-        let got = client::send(instance.front, &Ask::new("new", HOST, path)).await?;
+        let got = client::send(instance.front, &ClientRequest::new("new", HOST, path)).await?;
         if got.status != StatusCode::OK {
             without.push(index);
         }
@@ -98,14 +98,14 @@
 #[tokio::test]
 async fn offsets_are_reused() -> Result<()> {
     let (store, _endpoint, instances) = start_domain().await?;
-    store.away(true);
+    store.set_unavailable(true);
     tokio::time::sleep(AWAY).await;
     store.restore(OPERATOR, LOST_RECORDS);
     store.configure(&with_route(7, "/seventh/"));
     for version in 1..=LOST_RECORDS as u64 + 2 {
         store.declare("base", "a1", version);
     }
-    store.away(false);
+    store.set_unavailable(false);
     tokio::time::sleep(IN_FORCE).await;
     assert_that!(
         without_route(&instances, "/seventh/").await?,
@@ -138,20 +138,20 @@
         world.store.list(b.id(), &b.entry("ready"));
     }
     tokio::time::sleep(SETTLED).await;
-    world.store.away(true);
+    world.store.set_unavailable(true);
     tokio::time::sleep(AWAY).await;
     world.store.restore(ROSTER, LOST_RECORDS);
     world.store.list(a.id(), &a.entry("draining"));
     for _ in 0..LOST_RECORDS + 2 {
         world.store.list(b.id(), &b.entry("ready"));
     }
-    world.store.away(false);
+    world.store.set_unavailable(false);
     tokio::time::sleep(SETTLED).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         world.ask(&format!("r{number}"), "/safe/").await?;
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -206,8 +206,9 @@
         Instance::start(settings::of(name, ip, port, store.address()))
     };
     let first = start("one", 1).await?;
-    let ask =
-        |id: &str, adapter: &str| Ask::new(id, HOST, "/live/").model(&format!("base/{adapter}"));
+    let ask = |id: &str, adapter: &str| {
+        ClientRequest::new(id, HOST, "/live/").model(&format!("base/{adapter}"))
+    };
     let got = client::send(first.front, &ask("before", "a1")).await?;
     assert_that!(got.status, eq(StatusCode::OK));
     restore(&store, OPERATOR, 0).await;
--- a/crates/ploverwick_gateway/tests/revoked_keys.rs
+++ b/crates/ploverwick_gateway/tests/revoked_keys.rs
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_platform::OPERATOR;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -38,7 +38,7 @@
 }
 
 async fn status(world: &World, path: &str) -> Result<StatusCode> {
-    let ask = Ask::new("r", HOST, path).key(KEY);
+    let ask = ClientRequest::new("r", HOST, path).key(KEY);
     Ok(client::send(world.front, &ask).await?.status)
 }
 
@@ -53,10 +53,13 @@
         let status = status(&world, "/safe/").await?;
         expect_that!(status, not(eq(StatusCode::UNAUTHORIZED)));
         let is_stale = status == StatusCode::SERVICE_UNAVAILABLE
-            && client::send(world.front, &Ask::new("r", HOST, "/safe/").key(KEY))
-                .await?
-                .body
-                .starts_with("PW3013");
+            && client::send(
+                world.front,
+                &ClientRequest::new("r", HOST, "/safe/").key(KEY),
+            )
+            .await?
+            .body
+            .starts_with("PW3013");
         expect_false!(is_stale);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -71,10 +74,10 @@
     let endpoint = Endpoint::start("i-a", "app", None, "d1").await?;
     let world = ready(&endpoint).await?;
     while status(&world, "/safe/").await? != StatusCode::OK {}
-    world.store.away(true);
+    world.store.set_unavailable(true);
     world.until_ready(false).await?;
     let got = loop {
-        let ask = Ask::new("r", HOST, "/safe/").key(KEY);
+        let ask = ClientRequest::new("r", HOST, "/safe/").key(KEY);
         let got = client::send(world.front, &ask).await?;
         if got.status != StatusCode::OK {
             break got;
@@ -85,7 +88,7 @@
     expect_that!(got.retry_after, some(anything()));
     expect_true!(got.closes);
     expect_that!(status(&world, "/slow/").await?, eq(StatusCode::OK));
-    world.store.away(false);
+    world.store.set_unavailable(false);
     world.until_ready(true).await?;
     expect_that!(status(&world, "/safe/").await?, eq(StatusCode::OK));
     Ok(())
@@ -98,9 +101,9 @@
     let endpoint = Endpoint::start("i-a", "app", None, "d1").await?;
     let world = ready(&endpoint).await?;
     let mut connection = client::Connection::open(world.front).await?;
-    let ask = Ask::new("r", HOST, "/slow/");
+    let ask = ClientRequest::new("r", HOST, "/slow/");
     expect_that!(connection.send(&ask).await?.status, eq(StatusCode::OK));
-    world.store.away(true);
+    world.store.set_unavailable(true);
     connection.closed().await;
     world.until_ready(false).await
 }
@@ -122,20 +125,20 @@
         instances.push(Instance::start(settings).await?);
     }
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let before = store.looks(OPERATOR);
+    let before = store.immediate_reads(OPERATOR);
     tokio::time::sleep(BOUND * 6).await;
     // The aim is one read in a fifth of the bound; each instance by itself would make six times as many.
-    expect_that!(store.looks(OPERATOR) - before, le(6 * 2));
+    expect_that!(store.immediate_reads(OPERATOR) - before, le(6 * 2));
     for instance in &instances {
-        let ask = Ask::new("r", HOST, "/safe/").key(KEY);
+        let ask = ClientRequest::new("r", HOST, "/safe/").key(KEY);
         let got = client::send(instance.front, &ask).await?;
         expect_that!(got.status, eq(StatusCode::OK));
     }
     // Where the topic cannot be read the word of those that read it proves no more either.
-    store.hide(OPERATOR, true);
+    store.set_unreadable(OPERATOR, true);
     tokio::time::sleep(BOUND * 6).await;
     for instance in &instances {
-        let ask = Ask::new("r", HOST, "/safe/").key(KEY);
+        let ask = ClientRequest::new("r", HOST, "/safe/").key(KEY);
         let got = client::send(instance.front, &ask).await?;
         expect_that!(got.body, starts_with("PW3013"));
     }
--- a/crates/ploverwick_gateway/tests/second_life.rs
+++ b/crates/ploverwick_gateway/tests/second_life.rs
@@ -9,14 +9,14 @@
 use common::{HOST, World};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 
 /// Longer than two reads of the list with their pauses.
 const HEARD: Duration = Duration::from_millis(2_400);
 
 async fn status(world: &World, id: &str) -> Result<StatusCode> {
-    let got = client::send(world.front, &Ask::new(id, HOST, "/safe/")).await?;
+    let got = client::send(world.front, &ClientRequest::new(id, HOST, "/safe/")).await?;
     Ok(got.status)
 }
 
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn serves_after_draining() -> Result<()> {
     let endpoint = Endpoint::start("i-a", "app", None, "d1").await?;
-    endpoint.start_again(1_000);
+    endpoint.restart(1_000);
     let world = World::with(&[&endpoint]).await?;
     world.store.list("i-a", &endpoint.entry("ready"));
     world.store.list("i-a", &endpoint.entry("draining"));
@@ -33,7 +33,7 @@
         status(&world, "left").await?,
         eq(StatusCode::SERVICE_UNAVAILABLE)
     );
-    endpoint.start_again(2_000);
+    endpoint.restart(2_000);
     world.store.list("i-a", &endpoint.entry("ready"));
     tokio::time::sleep(HEARD).await;
     assert_that!(status(&world, "second").await?, eq(StatusCode::OK));
@@ -44,25 +44,25 @@
 #[tokio::test]
 async fn first_life_is_over() -> Result<()> {
     let endpoint = Endpoint::start("i-a", "app", None, "d1").await?;
-    endpoint.start_again(1_000);
+    endpoint.restart(1_000);
     let world = World::with(&[&endpoint]).await?;
     for _ in 0..5 {
         world.store.list("i-a", &endpoint.entry("ready"));
     }
     let late = endpoint.entry("ready");
-    endpoint.start_again(2_000);
+    endpoint.restart(2_000);
     world.store.list("i-a", &endpoint.entry("ready"));
     tokio::time::sleep(HEARD).await;
     world.store.list("i-a", &endpoint.entry("draining"));
     tokio::time::sleep(HEARD).await;
     world.store.list("i-a", &late);
     tokio::time::sleep(HEARD).await;
-    let before = endpoint.asked();
+    let before = endpoint.requests_received();
     assert_that!(
         status(&world, "late").await?,
         eq(StatusCode::SERVICE_UNAVAILABLE)
     );
-    assert_that!(endpoint.asked(), eq(before));
+    assert_that!(endpoint.requests_received(), eq(before));
     Ok(())
 }
 
@@ -70,13 +70,13 @@
 #[tokio::test]
 async fn loads_again() -> Result<()> {
     let endpoint = Endpoint::start("i-a", "lm", Some("base"), "d1").await?;
-    endpoint.start_again(1_000);
+    endpoint.restart(1_000);
     let world = World::with(&[&endpoint]).await?;
     for adapter in ["a1", "a2"] {
         let got = world.stream(adapter, "/live/", adapter).await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    endpoint.start_again(2_000);
+    endpoint.restart(2_000);
     world.store.list("i-a", &endpoint.entry("ready"));
     tokio::time::sleep(HEARD).await;
     let got = world.stream("again", "/live/", "a2").await?;
--- a/crates/ploverwick_gateway/tests/secret_keys.rs
+++ b/crates/ploverwick_gateway/tests/secret_keys.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_platform::config;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use serde_json::{Value, json};
@@ -57,7 +57,7 @@
     while world.ask("before", "/safe/").await?.status != StatusCode::UNAUTHORIZED {}
     for number in 0..12 {
         for path in ["/safe/", "/once/", "/nowhere/"] {
-            let ask = Ask::new(&format!("r{number}"), HOST, path);
+            let ask = ClientRequest::new(&format!("r{number}"), HOST, path);
             let got = client::send(world.front, &ask.key(&format!("{SECRET}-{number}"))).await?;
             expect_that!(got.body, not(contains_substring(SECRET)));
         }
--- a/crates/ploverwick_gateway/tests/silent_connections.rs
+++ b/crates/ploverwick_gateway/tests/silent_connections.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_platform_standin::client;
-use ploverwick_platform_standin::endpoint::{Act, EVENTS, Endpoint};
+use ploverwick_platform_standin::endpoint::{Action, EVENTS, Endpoint};
 use ploverwick_platform_standin::proxy::Proxy;
 use ploverwick_platform_standin::settings;
 
@@ -26,7 +26,7 @@
     world.store.list(endpoint.id(), &entry);
     world.store.configure(&settings::config(1));
     world.until_ready(true).await?;
-    while endpoint.asked() == 0 {
+    while endpoint.requests_received() == 0 {
         drop(world.ask("warm", "/safe/warm").await);
     }
     Ok((world, proxy))
@@ -53,15 +53,18 @@
     let other = Endpoint::start("i-b", "app", None, "d1").await?;
     let (world, proxy) = behind_proxy(&endpoint).await?;
     world.store.list(other.id(), &other.entry("ready"));
-    while other.asked() == 0 {
+    while other.requests_received() == 0 {
         drop(world.ask("warm-b", "/safe/warm").await);
     }
     assert_that!(crowd(&world, "/safe/x", 0).await?, eq(CROWD));
     proxy.silence();
     assert_that!(crowd(&world, "/safe/x", 100).await?, eq(CROWD));
-    let before = endpoint.asked() + other.asked();
+    let before = endpoint.requests_received() + other.requests_received();
     assert_that!(crowd(&world, "/safe/x", 200).await?, eq(CROWD));
-    assert_that!(endpoint.asked() + other.asked() - before, eq(CROWD));
+    assert_that!(
+        endpoint.requests_received() + other.requests_received() - before,
+        eq(CROWD)
+    );
     Ok(())
 }
 
@@ -101,7 +104,7 @@
     world.store.list(b.id(), &b.entry("ready"));
     // Until the list of endpoints was read again.
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    a.script(&[Act::Stall(1)]);
+    a.script(&[Action::Stall(1)]);
     let got = world.stream("r1", "/resume/", "a1").await?;
     assert_that!(got.is_whole, eq(true));
     let ids = got.body.lines().filter(|line| line.starts_with("id: "));
@@ -116,13 +119,13 @@
 async fn gone_before_read() -> Result<()> {
     let endpoint = Endpoint::start("i-a", "app", None, "d1").await?;
     let world = World::with(&[&endpoint]).await?;
-    let before = endpoint.asked();
+    let before = endpoint.requests_received();
     for number in 0..8 {
-        client::leave_unread(world.front, &format!("g{number}"), HOST)?;
+        client::send_and_disconnect(world.front, &format!("g{number}"), HOST)?;
     }
     // The next request is served after those before it were read.
     assert_that!(world.ask("r1", "/safe/x").await?.status, eq(StatusCode::OK));
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert_that!(endpoint.asked() - before, eq(1));
+    assert_that!(endpoint.requests_received() - before, eq(1));
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/stated_leave.rs
+++ b/crates/ploverwick_gateway/tests/stated_leave.rs
@@ -8,7 +8,7 @@
 use common::{HOST, Instance, World, free_port, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -18,9 +18,9 @@
 
 /// Sends requests until one more has reached the endpoint.
 async fn request_until_received(world: &World, endpoint: &Endpoint) -> Result<()> {
-    let before = endpoint.asked();
+    let before = endpoint.requests_received();
     let mut number = 0;
-    while endpoint.asked() == before {
+    while endpoint.requests_received() == before {
         number += 1;
         world.ask(&format!("until-{number}"), "/safe/").await?;
     }
@@ -32,16 +32,16 @@
 async fn store_away() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    world.store.away(true);
-    a.leave();
+    world.store.set_unavailable(true);
+    a.set_leaving();
     request_until_received(&world, &a).await?;
     tokio::time::sleep(DRAIN_DEADLINE).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         let got = world.ask(&format!("r{number}"), "/safe/").await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -50,19 +50,19 @@
 async fn listed_as_ready() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.leave();
+    a.set_leaving();
     request_until_received(&world, &a).await?;
     let until = Instant::now() + DRAIN_DEADLINE;
     while Instant::now() < until {
         world.store.list(a.id(), &a.entry("ready"));
         tokio::time::sleep(DRAIN_DEADLINE / 8).await;
     }
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
         let got = world.ask(&format!("r{number}"), "/safe/").await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
 
@@ -74,18 +74,22 @@
     let world = World::with(&[&a, &b]).await?;
     let got = world.stream("first", "/live/", "a1").await?;
     assert_that!(got.status, eq(StatusCode::OK));
-    let (holder, other) = if a.asked() > 0 { (&a, &b) } else { (&b, &a) };
-    world.store.away(true);
-    holder.leave();
+    let (holder, other) = if a.requests_received() > 0 {
+        (&a, &b)
+    } else {
+        (&b, &a)
+    };
+    world.store.set_unavailable(true);
+    holder.set_leaving();
     world.stream("told", "/live/", "a1").await?;
     tokio::time::sleep(DRAIN_DEADLINE).await;
-    let before = holder.asked();
+    let before = holder.requests_received();
     for number in 0..5 {
         let got = world.stream(&format!("r{number}"), "/live/", "a1").await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(holder.asked(), eq(before));
-    assert_that!(other.asked(), ge(5));
+    assert_that!(holder.requests_received(), eq(before));
+    assert_that!(other.requests_received(), ge(5));
     Ok(())
 }
 
@@ -106,22 +110,22 @@
     }
     // Long enough for the instances to discover each other.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    store.away(true);
-    a.leave();
+    store.set_unavailable(true);
+    a.set_leaving();
     let mut number = 0;
-    let before = a.asked();
-    while a.asked() == before {
+    let before = a.requests_received();
+    while a.requests_received() == before {
         number += 1;
-        let ask = Ask::new(&format!("until-{number}"), HOST, "/safe/");
+        let ask = ClientRequest::new(&format!("until-{number}"), HOST, "/safe/");
         client::send(instances[0].front, &ask).await?;
     }
     tokio::time::sleep(DRAIN_DEADLINE).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for number in 0..20 {
-        let ask = Ask::new(&format!("r{number}"), HOST, "/safe/");
+        let ask = ClientRequest::new(&format!("r{number}"), HOST, "/safe/");
         let got = client::send(instances[1].front, &ask).await?;
         assert_that!(got.status, eq(StatusCode::OK));
     }
-    assert_that!(a.asked(), eq(before));
+    assert_that!(a.requests_received(), eq(before));
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/stream_relay.rs
+++ b/crates/ploverwick_gateway/tests/stream_relay.rs
@@ -6,7 +6,7 @@
 use common::{World, runs};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform_standin::endpoint::{Act, EVENTS, Endpoint};
+use ploverwick_platform_standin::endpoint::{Action, EVENTS, Endpoint};
 
 async fn two_engines() -> Result<(Endpoint, Endpoint)> {
     let a = Endpoint::start("i-a", "lm", Some("base"), "d1").await?;
@@ -40,8 +40,8 @@
 async fn cut_looks_cut() -> Result<()> {
     let (a, b) = two_engines().await?;
     let world = World::with(&[&a, &b]).await?;
-    a.script(&[Act::Cut(1)]);
-    b.script(&[Act::Cut(1)]);
+    a.script(&[Action::Truncate(1)]);
+    b.script(&[Action::Truncate(1)]);
     let got = world.stream("r1", "/live/", "a1").await?;
     assert_that!(got.is_whole, eq(false));
     assert_that!(runs(&[&a, &b], "r1"), eq(1));
@@ -58,8 +58,8 @@
             .stream(&format!("warm-{number}"), "/resume/", "a1")
             .await?;
     }
-    a.script(&[Act::Cut(1)]);
-    b.script(&[Act::Cut(1)]);
+    a.script(&[Action::Truncate(1)]);
+    b.script(&[Action::Truncate(1)]);
     let got = world.stream("r1", "/resume/", "a1").await?;
     let all_runs = [a.runs(), b.runs()].concat();
     let ours: Vec<_> = all_runs.iter().filter(|run| run.id == "r1").collect();
@@ -82,7 +82,7 @@
     let world = World::earning(&[&a, &b], 2.0).await?;
     world.stream("warm", "/resume/", "a1").await?;
     let first = if a.runs().is_empty() { &b } else { &a };
-    first.script(&[Act::Cut(2)]);
+    first.script(&[Action::Truncate(2)]);
     let got = world.stream("r1", "/resume/", "a1").await?;
     assert_that!(got.is_whole, eq(true));
     assert_that!(numbers(&got.body), eq(&all()));
--- a/crates/ploverwick_gateway/tests/three_instances.rs
+++ b/crates/ploverwick_gateway/tests/three_instances.rs
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_platform::group;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -26,7 +26,7 @@
 }
 
 async fn stream(front: SocketAddr, id: &str, adapter: &str) -> Result<StatusCode> {
-    let ask = Ask::new(id, HOST, "/live/").model(&format!("base/{adapter}"));
+    let ask = ClientRequest::new(id, HOST, "/live/").model(&format!("base/{adapter}"));
     Ok(client::send(front, &ask).await?.status)
 }
 
--- a/crates/ploverwick_gateway/tests/two_instances.rs
+++ b/crates/ploverwick_gateway/tests/two_instances.rs
@@ -8,7 +8,7 @@
 use anyhow::Result;
 use common::{HOST, Instance, free_port, two_plain};
 use googletest::prelude::*;
-use ploverwick_platform_standin::client::{self, Ask};
+use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -28,7 +28,7 @@
 }
 
 async fn ask(front: SocketAddr, id: &str) -> Result<()> {
-    client::send(front, &Ask::new(id, HOST, "/safe/")).await?;
+    client::send(front, &ClientRequest::new(id, HOST, "/safe/")).await?;
     Ok(())
 }
 
@@ -49,11 +49,11 @@
     let fronts = two(&store).await?;
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     leave(&store, &a).await;
-    let before = a.asked();
+    let before = a.requests_received();
     for (number, front) in fronts.iter().cycle().take(20).enumerate() {
         ask(*front, &format!("r{number}")).await?;
     }
-    assert_that!(a.asked(), eq(before));
-    assert_that!(b.asked(), gt(0));
+    assert_that!(a.requests_received(), eq(before));
+    assert_that!(b.requests_received(), gt(0));
     Ok(())
 }
