--- a/crates/ploverwick_gateway/src/controllers/freshness.rs
+++ b/crates/ploverwick_gateway/src/controllers/freshness.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Moment;
-use ploverwick_platform::OPERATOR;
+use ploverwick_platform::OPERATOR_TOPIC;
 use ploverwick_topics::freshness::{Need, Statement};
 use ploverwick_topics::{Position, Reading};
 
@@ -100,7 +100,7 @@
         state.freshness.reads(now);
         state.stands.of(Topic::Operator).end
     };
-    let reading = shared.store.read(OPERATOR, from, Duration::ZERO);
+    let reading = shared.store.read(OPERATOR_TOPIC, from, Duration::ZERO);
     let end = match tokio::time::timeout(bound.mul_f64(ANSWER), reading).await {
         Ok(Ok(batch)) => batch.end,
         Ok(Err(error)) => {
--- a/crates/ploverwick_gateway/src/controllers/instances.rs
+++ b/crates/ploverwick_gateway/src/controllers/instances.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_platform::INSTANCES;
+use ploverwick_platform::INSTANCE_TOPIC;
 use ploverwick_platform::store::Record;
 use serde::{Deserialize, Serialize};
 
@@ -57,7 +57,7 @@
     // A repeat of a write that was done all the same changes nothing.
     while let Err(error) = shared
         .store
-        .put(INSTANCES, &settings.instance, Some(&line))
+        .put(INSTANCE_TOPIC, &settings.instance, Some(&line))
         .await
     {
         spdlog::warn!("not_listed cause=\"{}\"", error);
@@ -70,7 +70,7 @@
 pub(crate) async fn recall(shared: &Shared) -> Option<u64> {
     let mut backoff = Backoff::new();
     let snapshot = loop {
-        match shared.store.newest(INSTANCES).await {
+        match shared.store.newest(INSTANCE_TOPIC).await {
             Ok(snapshot) => break snapshot,
             Err(error) => {
                 spdlog::info!("recall_fails cause=\"{}\"", error);
@@ -94,7 +94,7 @@
 /// Takes this instance off the list, if the store answers.
 pub(crate) async fn retire(shared: &Shared) {
     let name = &shared.settings.instance;
-    if let Err(error) = shared.store.put(INSTANCES, name, None).await {
+    if let Err(error) = shared.store.put(INSTANCE_TOPIC, name, None).await {
         spdlog::warn!("still_listed cause=\"{}\"", error);
     }
 }
@@ -105,7 +105,7 @@
         tokio::time::sleep(FIRST_START).await;
     }
     let feed = Feed {
-        topic: INSTANCES,
+        topic: INSTANCE_TOPIC,
         what: "instance list",
         wait: WAIT,
         pause: PAUSE,
@@ -192,7 +192,7 @@
     let settings = &shared.settings;
     let key = placer_key(&settings.domain);
     let name = settings.instance.as_bytes();
-    if let Err(error) = shared.store.put(INSTANCES, &key, Some(name)).await {
+    if let Err(error) = shared.store.put(INSTANCE_TOPIC, &key, Some(name)).await {
         spdlog::warn!("placer_unnamed cause=\"{}\"", error);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/operator.rs
+++ b/crates/ploverwick_gateway/src/controllers/operator.rs
@@ -5,7 +5,7 @@
 
 use ploverwick_adapters::Since;
 use ploverwick_platform::store::Record;
-use ploverwick_platform::{CONFIG_KEY, OPERATOR, config, version};
+use ploverwick_platform::{CONFIG_KEY, OPERATOR_TOPIC, config, version};
 use ploverwick_routes::{Config, Organisations};
 
 use super::feed::{Feed, News};
@@ -21,7 +21,7 @@
 /// Follows the operator's topic for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let feed = Feed {
-        topic: OPERATOR,
+        topic: OPERATOR_TOPIC,
         what: "operator topic",
         wait: WAIT,
         pause: Duration::ZERO,
--- a/crates/ploverwick_gateway/src/controllers/quarantine.rs
+++ b/crates/ploverwick_gateway/src/controllers/quarantine.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_platform::QUARANTINE;
+use ploverwick_platform::QUARANTINE_TOPIC;
 use ploverwick_platform::quarantine::{decode, encode};
 use ploverwick_platform::store::Record;
 use ploverwick_quarantine::{Change, Crash, Entry, Fingerprint, Suspect};
@@ -119,7 +119,7 @@
     let (key, value) = encode(entry, unix_ms());
     tokio::spawn(async move {
         let mut backoff = Backoff::new();
-        while let Err(error) = shared.store.put(QUARANTINE, &key, Some(&value)).await {
+        while let Err(error) = shared.store.put(QUARANTINE_TOPIC, &key, Some(&value)).await {
             spdlog::warn!(
                 "quarantine_unwritten fingerprint={} cause=\"{}\"",
                 key,
@@ -133,7 +133,7 @@
 /// Follows the topic for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let feed = Feed {
-        topic: QUARANTINE,
+        topic: QUARANTINE_TOPIC,
         what: "quarantine topic",
         wait: WAIT,
         pause: Duration::ZERO,
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/roster.rs
@@ -6,7 +6,7 @@
 
 use ploverwick_endpoints::{Absence, Entry, Heartbeat, Heartbeats, State as EndpointState};
 use ploverwick_platform::store::{Error, Record};
-use ploverwick_platform::{ROSTER, roster};
+use ploverwick_platform::{ROSTER_TOPIC, roster};
 use ploverwick_topics::Position;
 
 use super::feed::{self, Feed, News};
@@ -70,7 +70,7 @@
         heartbeats: Heartbeats::default(),
     };
     let feed = Feed {
-        topic: ROSTER,
+        topic: ROSTER_TOPIC,
         what: "endpoint list",
         wait: Duration::ZERO,
         pause: PAUSE,
--- a/crates/ploverwick_gateway/src/controllers/table.rs
+++ b/crates/ploverwick_gateway/src/controllers/table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ploverwick_platform::TABLE;
+use ploverwick_platform::TABLE_TOPIC;
 use ploverwick_platform::store::Record;
 use ploverwick_platform::table::{Assembler, encode};
 use xxhash_rust::xxh3::xxh3_64;
@@ -22,7 +22,7 @@
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let mut follower = Follower::new(Arc::clone(&shared));
     let feed = Feed {
-        topic: TABLE,
+        topic: TABLE_TOPIC,
         what: "table topic",
         wait: WAIT,
         pause: Duration::ZERO,
@@ -127,7 +127,7 @@
         tokio::spawn(async move {
             if let Err(error) = shared
                 .store
-                .append_if_unchanged(TABLE, &encode(&text), end)
+                .append_if_unchanged(TABLE_TOPIC, &encode(&text), end)
                 .await
             {
                 spdlog::info!("table_republish_failed cause=\"{}\"", error);
--- a/crates/ploverwick_gateway/src/controllers/tenure.rs
+++ b/crates/ploverwick_gateway/src/controllers/tenure.rs
@@ -5,7 +5,7 @@
 
 use ploverwick_adapters::Grant;
 use ploverwick_names::Moment;
-use ploverwick_platform::group;
+use ploverwick_platform::placer_group;
 
 use super::{Backoff, instances};
 use crate::journal::Outage;
@@ -25,7 +25,7 @@
 
 /// Renews the membership for as long as the process runs.
 pub(crate) async fn keep(shared: Arc<Shared>) {
-    let group = group(&shared.settings.domain);
+    let group = placer_group(&shared.settings.domain);
     let member = Arc::clone(&shared.settings.instance);
     let ttl = TENURE.max(shared.settings.shortest_ttl);
     let mut outage = Outage::of("placer group");
--- a/crates/ploverwick_gateway/src/quarantine.rs
+++ b/crates/ploverwick_gateway/src/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result, bail};
-use ploverwick_platform::QUARANTINE;
+use ploverwick_platform::QUARANTINE_TOPIC;
 use ploverwick_platform::quarantine::{decode, encode};
 use ploverwick_platform::store::Store;
 use ploverwick_quarantine::{Entry, Fingerprint};
@@ -40,13 +40,13 @@
         bail!("{fingerprint} is not refused; `quarantine list` shows what is");
     };
     let (key, value) = encode(&entry.after_reset(), unix_ms());
-    let written = store.put(QUARANTINE, &key, Some(&value)).await;
+    let written = store.put(QUARANTINE_TOPIC, &key, Some(&value)).await;
     written.context("release the request; look with `quarantine list` before trying again")
 }
 
 async fn read(store: &Store) -> Result<Vec<Entry>> {
     let now_ms = unix_ms();
-    let snapshot = store.newest(QUARANTINE).await?;
+    let snapshot = store.newest(QUARANTINE_TOPIC).await?;
     let mut entries = Vec::new();
     for record in &snapshot.records {
         match decode(record, now_ms) {
--- a/crates/ploverwick_gateway/src/table.rs
+++ b/crates/ploverwick_gateway/src/table.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use anyhow::{Context, Result, bail};
-use ploverwick_platform::TABLE;
+use ploverwick_platform::TABLE_TOPIC;
 use ploverwick_platform::store::{Error, Store};
 use ploverwick_platform::table::{Assembler, encode};
 
@@ -24,7 +24,7 @@
 /// # Errors
 /// Fails if the store does not answer.
 pub async fn show(store: SocketAddr) -> Result<Published> {
-    let snapshot = Store::new(store, PARTITIONS).newest(TABLE).await?;
+    let snapshot = Store::new(store, PARTITIONS).newest(TABLE_TOPIC).await?;
     let mut assembly = Assembler::default();
     let mut text = None;
     for record in &snapshot.records {
@@ -48,7 +48,7 @@
     }
     let records = encode(text);
     let store = Store::new(store, PARTITIONS);
-    match store.append_if_unchanged(TABLE, &records, base).await {
+    match store.append_if_unchanged(TABLE_TOPIC, &records, base).await {
         Ok(()) => Ok(base + records.len() as u64),
         Err(Error::Conflict) => bail!(
             "another table was published since version {base}; \
--- a/crates/ploverwick_gateway/tests/few_readers.rs
+++ b/crates/ploverwick_gateway/tests/few_readers.rs
@@ -10,7 +10,7 @@
 use common::{HOST, Instance, free_port};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::{INSTANCES, OPERATOR, TABLE, group};
+use ploverwick_platform::{INSTANCE_TOPIC, OPERATOR_TOPIC, TABLE_TOPIC, placer_group};
 use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
@@ -95,7 +95,7 @@
 #[tokio::test]
 async fn few_read() -> Result<()> {
     let (store, _endpoint, _instances) = world().await?;
-    for topic in [OPERATOR, TABLE, INSTANCES] {
+    for topic in [OPERATOR_TOPIC, TABLE_TOPIC, INSTANCE_TOPIC] {
         while store.waiting_reads(topic) < 2 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -130,11 +130,11 @@
         instances.push(start(name, host, port, &store).await?);
     }
     tokio::time::sleep(SETTLED).await;
-    let whole = store.snapshot_reads(OPERATOR) + store.snapshot_reads(TABLE);
+    let whole = store.snapshot_reads(OPERATOR_TOPIC) + store.snapshot_reads(TABLE_TOPIC);
     instances.push(start("d", 4, port, &store).await?);
     until_served(&instances[3..], "/first/").await?;
     assert_that!(
-        store.snapshot_reads(OPERATOR) + store.snapshot_reads(TABLE),
+        store.snapshot_reads(OPERATOR_TOPIC) + store.snapshot_reads(TABLE_TOPIC),
         eq(whole)
     );
     Ok(())
@@ -172,7 +172,7 @@
     store.configure(&with_route(1, "/first/", 2_000));
     for (host, name) in (1..).zip(NAMES) {
         let line = format!(r#"{{"ip":"127.0.0.{host}","domain":"d1","capacity":250}}"#);
-        store.write(INSTANCES, name, line.as_bytes());
+        store.write(INSTANCE_TOPIC, name, line.as_bytes());
     }
     let port = free_port()?;
     let starts = (1..).zip(NAMES).map(|(host, name)| {
@@ -184,7 +184,7 @@
         instances.push(started.await??);
     }
     until_served(&instances, "/first/").await?;
-    assert_that!(store.snapshot_reads(OPERATOR), lt(NAMES.len()));
+    assert_that!(store.snapshot_reads(OPERATOR_TOPIC), lt(NAMES.len()));
     Ok(())
 }
 
@@ -196,7 +196,7 @@
     let sizes = [("a", 120), ("b", 120), ("c", 500), ("d", 500)];
     for (host, (name, capacity)) in (1..).zip(sizes) {
         let line = format!(r#"{{"ip":"127.0.0.{host}","domain":"d1","capacity":{capacity}}}"#);
-        store.write(INSTANCES, name, line.as_bytes());
+        store.write(INSTANCE_TOPIC, name, line.as_bytes());
     }
     let port = free_port()?;
     let starts = (1..).zip(sizes).map(|(host, (name, capacity))| {
@@ -211,7 +211,7 @@
         instances.push(started.await??);
     }
     tokio::time::sleep(SETTLED).await;
-    let members = store.members(&group("d1"));
+    let members = store.members(&placer_group("d1"));
     assert_that!(members, unordered_elements_are![eq("c"), eq("d")]);
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/foreign_records.rs
+++ b/crates/ploverwick_gateway/tests/foreign_records.rs
@@ -8,7 +8,7 @@
 use common::{World, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::{INSTANCES, OPERATOR, ROSTER, TABLE};
+use ploverwick_platform::{INSTANCE_TOPIC, OPERATOR_TOPIC, ROSTER_TOPIC, TABLE_TOPIC};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -29,11 +29,11 @@
         &huge,
     ];
     for (number, value) in values.iter().enumerate() {
-        for topic in [ROSTER, INSTANCES, TABLE] {
+        for topic in [ROSTER_TOPIC, INSTANCE_TOPIC, TABLE_TOPIC] {
             store.write(topic, &format!("other-{number}"), value);
         }
-        store.write(OPERATOR, &format!("version/other-{number}"), value);
-        store.write(OPERATOR, &format!("other-{number}"), value);
+        store.write(OPERATOR_TOPIC, &format!("version/other-{number}"), value);
+        store.write(OPERATOR_TOPIC, &format!("other-{number}"), value);
     }
 }
 
@@ -83,8 +83,8 @@
     spoil(&world.store);
     list_strangers(&world.store, &stranger);
     // An entry under the name of a sound endpoint names none, and what the endpoint said holds.
-    world.store.write(ROSTER, a.id(), b"{\"service\":[]}");
-    world.store.write(ROSTER, b.id(), b"null");
+    world.store.write(ROSTER_TOPIC, a.id(), b"{\"service\":[]}");
+    world.store.write(ROSTER_TOPIC, b.id(), b"null");
     tokio::time::sleep(HEARD).await;
     world.store.configure(&settings::config(2));
     for number in 0..20 {
--- a/crates/ploverwick_gateway/tests/fresh_budget.rs
+++ b/crates/ploverwick_gateway/tests/fresh_budget.rs
@@ -9,7 +9,7 @@
 use common::{World, runs, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::INSTANCES;
+use ploverwick_platform::INSTANCE_TOPIC;
 use ploverwick_platform_standin::endpoint::Action;
 
 #[tokio::test]
@@ -31,11 +31,11 @@
 async fn lost_line_is_written_again() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    while world.store.newest_of(INSTANCES, "one").is_none() {
+    while world.store.newest_of(INSTANCE_TOPIC, "one").is_none() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    world.store.write(INSTANCES, "one", b"");
-    while world.store.newest_of(INSTANCES, "one").is_none() {
+    world.store.write(INSTANCE_TOPIC, "one", b"");
+    while world.store.newest_of(INSTANCE_TOPIC, "one").is_none() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     Ok(())
--- a/crates/ploverwick_gateway/tests/fresh_limits.rs
+++ b/crates/ploverwick_gateway/tests/fresh_limits.rs
@@ -17,7 +17,7 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_gateway::table;
-use ploverwick_platform::{INSTANCES, TABLE};
+use ploverwick_platform::{INSTANCE_TOPIC, TABLE_TOPIC};
 use ploverwick_platform_standin::client::ClientResponse;
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn restart_spends_nothing() -> Result<()> {
     let (store, engine) = limited().await?;
-    store.write(INSTANCES, "one", LINE);
+    store.write(INSTANCE_TOPIC, "one", LINE);
     let world = World::of(store, false).await?;
     world.until_ready(true).await?;
     let got = settled(&world, "r", "a1").await?;
@@ -104,13 +104,13 @@
 #[tokio::test]
 async fn sharers_are_awaited() -> Result<()> {
     let (store, engine) = limited().await?;
-    store.set_unreadable(INSTANCES, true);
+    store.set_unreadable(INSTANCE_TOPIC, true);
     let world = World::of(store, true).await?;
     world.until_ready(true).await?;
     let got = settled(&world, "r", "a1").await?;
     assert_that!(got.status, eq(StatusCode::TOO_MANY_REQUESTS));
     assert_that!(engine.runs(), is_empty());
-    world.store.set_unreadable(INSTANCES, false);
+    world.store.set_unreadable(INSTANCE_TOPIC, false);
     admitted(&world).await?;
     Ok(())
 }
@@ -118,14 +118,14 @@
 #[tokio::test]
 async fn table_is_awaited() -> Result<()> {
     let (store, engine) = limited().await?;
-    store.set_unreadable(TABLE, true);
+    store.set_unreadable(TABLE_TOPIC, true);
     let world = World::of(store, true).await?;
     // Long enough for all other topics to be read.
     tokio::time::sleep(Duration::from_millis(500)).await;
     let got = world.stream("r1", "/live/", "a1").await?;
     assert_that!(got.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     assert_that!(engine.runs(), is_empty());
-    world.store.set_unreadable(TABLE, false);
+    world.store.set_unreadable(TABLE_TOPIC, false);
     admitted(&world).await?;
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/placer_restart.rs
+++ b/crates/ploverwick_gateway/tests/placer_restart.rs
@@ -9,7 +9,7 @@
 use common::World;
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::INSTANCES;
+use ploverwick_platform::INSTANCE_TOPIC;
 use ploverwick_platform::settings::Settings;
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
@@ -32,7 +32,7 @@
         Some(token) => format!(r#"{{"ip":"127.0.0.1","domain":"d1","token":{token}}}"#),
         None => r#"{"ip":"127.0.0.1","domain":"d1"}"#.to_owned(),
     };
-    store.write(INSTANCES, "one", line.as_bytes());
+    store.write(INSTANCE_TOPIC, "one", line.as_bytes());
     store.set_unavailable(true);
     let world = World::changed(store, |settings| {
         settings.first_start = false;
--- a/crates/ploverwick_gateway/tests/restored_store.rs
+++ b/crates/ploverwick_gateway/tests/restored_store.rs
@@ -10,7 +10,9 @@
 use googletest::prelude::*;
 use http::StatusCode;
 use ploverwick_gateway::table;
-use ploverwick_platform::{self as platform, INSTANCES, OPERATOR, ROSTER, TABLE};
+use ploverwick_platform::{
+    self as platform, INSTANCE_TOPIC, OPERATOR_TOPIC, ROSTER_TOPIC, TABLE_TOPIC,
+};
 use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
@@ -83,7 +85,7 @@
 #[tokio::test]
 async fn told_after_restore() -> Result<()> {
     let (store, _endpoint, instances) = start_domain().await?;
-    restore(&store, OPERATOR, LOST_RECORDS).await;
+    restore(&store, OPERATOR_TOPIC, LOST_RECORDS).await;
     tokio::time::sleep(IN_FORCE).await;
     store.configure(&with_route(7, "/seventh/"));
     tokio::time::sleep(IN_FORCE).await;
@@ -100,7 +102,7 @@
     let (store, _endpoint, instances) = start_domain().await?;
     store.set_unavailable(true);
     tokio::time::sleep(AWAY).await;
-    store.restore(OPERATOR, LOST_RECORDS);
+    store.restore(OPERATOR_TOPIC, LOST_RECORDS);
     store.configure(&with_route(7, "/seventh/"));
     for version in 1..=LOST_RECORDS as u64 + 2 {
         store.declare("base", "a1", version);
@@ -121,7 +123,7 @@
     let before = store.calls();
     tokio::time::sleep(IN_FORCE).await;
     let calls_before_restore = store.calls() - before;
-    restore(&store, OPERATOR, LOST_RECORDS).await;
+    restore(&store, OPERATOR_TOPIC, LOST_RECORDS).await;
     tokio::time::sleep(IN_FORCE).await;
     let before = store.calls();
     tokio::time::sleep(IN_FORCE).await;
@@ -140,7 +142,7 @@
     tokio::time::sleep(SETTLED).await;
     world.store.set_unavailable(true);
     tokio::time::sleep(AWAY).await;
-    world.store.restore(ROSTER, LOST_RECORDS);
+    world.store.restore(ROSTER_TOPIC, LOST_RECORDS);
     world.store.list(a.id(), &a.entry("draining"));
     for _ in 0..LOST_RECORDS + 2 {
         world.store.list(b.id(), &b.entry("ready"));
@@ -160,7 +162,7 @@
 async fn missing_endpoints_are_awaited() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    world.store.restore(ROSTER, usize::MAX);
+    world.store.restore(ROSTER_TOPIC, usize::MAX);
     // Longer than the pause between two reads of the list, shorter than the wait for missing endpoints.
     tokio::time::sleep(Duration::from_millis(1_300)).await;
     let got = world.ask("meanwhile", "/safe/").await?;
@@ -178,10 +180,14 @@
 #[tokio::test]
 async fn instances_are_listed_again() -> Result<()> {
     let (store, _endpoint, _instances) = start_domain().await?;
-    restore(&store, INSTANCES, usize::MAX).await;
+    restore(&store, INSTANCE_TOPIC, usize::MAX).await;
     tokio::time::sleep(IN_FORCE * 2).await;
     for name in INSTANCE_NAMES {
-        assert_that!(store.newest_of(INSTANCES, name), some(anything()), "{name}");
+        assert_that!(
+            store.newest_of(INSTANCE_TOPIC, name),
+            some(anything()),
+            "{name}"
+        );
     }
     Ok(())
 }
@@ -195,7 +201,7 @@
     store.list(endpoint.id(), &endpoint.entry("ready"));
     // Raises the generation above the one that the group has after the restore.
     let other = platform::store::Store::new(store.address(), 1);
-    let group = platform::group("d1");
+    let group = platform::placer_group("d1");
     for _ in 0..5 {
         other.join(&group, "other", SETTLED, 0).await?;
         other.leave(&group, "other").await?;
@@ -211,7 +217,7 @@
     };
     let got = client::send(first.front, &ask("before", "a1")).await?;
     assert_that!(got.status, eq(StatusCode::OK));
-    restore(&store, OPERATOR, 0).await;
+    restore(&store, OPERATOR_TOPIC, 0).await;
     first.stop().await?;
     let second = start("two", 2).await?;
     tokio::time::sleep(SETTLED).await;
@@ -246,7 +252,7 @@
     assert_that!(newest, some(anything()));
     assert_that!(newest, not(eq(first)));
     // The newest table consists of two records: a part and the head.
-    restore(&world.store, TABLE, 2).await;
+    restore(&world.store, TABLE_TOPIC, 2).await;
     tokio::time::sleep(IN_FORCE).await;
     let restored = priority(&world, &engine, "restored").await?;
     assert_that!(restored, eq(newest));
--- a/crates/ploverwick_gateway/tests/revoked_keys.rs
+++ b/crates/ploverwick_gateway/tests/revoked_keys.rs
@@ -9,7 +9,7 @@
 use common::{HOST, Instance, World, free_port};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::OPERATOR;
+use ploverwick_platform::OPERATOR_TOPIC;
 use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
@@ -125,17 +125,17 @@
         instances.push(Instance::start(settings).await?);
     }
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let before = store.immediate_reads(OPERATOR);
+    let before = store.immediate_reads(OPERATOR_TOPIC);
     tokio::time::sleep(BOUND * 6).await;
     // The aim is one read in a fifth of the bound; each instance by itself would make six times as many.
-    expect_that!(store.immediate_reads(OPERATOR) - before, le(6 * 2));
+    expect_that!(store.immediate_reads(OPERATOR_TOPIC) - before, le(6 * 2));
     for instance in &instances {
         let ask = ClientRequest::new("r", HOST, "/safe/").key(KEY);
         let got = client::send(instance.front, &ask).await?;
         expect_that!(got.status, eq(StatusCode::OK));
     }
     // Where the topic cannot be read the word of those that read it proves no more either.
-    store.set_unreadable(OPERATOR, true);
+    store.set_unreadable(OPERATOR_TOPIC, true);
     tokio::time::sleep(BOUND * 6).await;
     for instance in &instances {
         let ask = ClientRequest::new("r", HOST, "/safe/").key(KEY);
--- a/crates/ploverwick_gateway/tests/three_instances.rs
+++ b/crates/ploverwick_gateway/tests/three_instances.rs
@@ -11,7 +11,7 @@
 use common::{HOST, Instance, free_port};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::group;
+use ploverwick_platform::placer_group;
 use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
@@ -59,7 +59,7 @@
     for (host, name) in (1..).zip(["a", "b", "c", "d", "e"]) {
         start(name, "d1", host, port, &store).await?;
     }
-    let members = || store.members(&group("d1"));
+    let members = || store.members(&placer_group("d1"));
     while members().len() > 3 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
