--- a/crates/ploverwick_gateway/src/controllers/tenure.rs
+++ b/crates/ploverwick_gateway/src/controllers/tenure.rs
@@ -5,7 +5,7 @@
 
 use ploverwick_adapters::Grant;
 use ploverwick_names::Moment;
-use ploverwick_platform::group;
+use ploverwick_platform::placer_group;
 
 use super::{Backoff, instances};
 use crate::journal::Outage;
@@ -25,7 +25,7 @@
 
 /// Renews the membership for as long as the process runs.
 pub(crate) async fn keep(shared: Arc<Shared>) {
-    let group = group(&shared.settings.domain);
+    let group = placer_group(&shared.settings.domain);
     let member = Arc::clone(&shared.settings.instance);
     let ttl = TENURE.max(shared.settings.shortest_ttl);
     let mut outage = Outage::of("placer group");
@@ -62,13 +62,13 @@
                 outage.works();
                 backoff.reset();
                 generation = membership.generation;
-                let grant = if membership.leads {
+                let grant = if membership.is_leader {
                     Grant::Held(membership.token)
                 } else {
                     Grant::Elsewhere
                 };
                 take(&shared, grant, asked);
-                let token = membership.leads.then_some(membership.token);
+                let token = membership.is_leader.then_some(membership.token);
                 if token.is_some() && token != written {
                     written = token;
                     tokio::spawn(instances::name_placer(Arc::clone(&shared)));
--- a/crates/ploverwick_gateway/tests/fresh_budget.rs
+++ b/crates/ploverwick_gateway/tests/fresh_budget.rs
@@ -9,15 +9,15 @@
 use common::{World, runs, two_plain};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::INSTANCES;
-use ploverwick_platform_standin::endpoint::Act;
+use ploverwick_platform::INSTANCE_TOPIC;
+use ploverwick_platform_standin::endpoint::Action;
 
 #[tokio::test]
 async fn nothing_earned_refuses() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::earning(&[&a, &b], 0.0).await?;
-    a.script(&[Act::Refuse]);
-    b.script(&[Act::Refuse]);
+    a.script(&[Action::Refuse]);
+    b.script(&[Action::Refuse]);
     let got = world.ask("r1", "/once/").await?;
     assert_that!(got.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     assert_that!(got.retry_after, some(anything()));
@@ -31,11 +31,11 @@
 async fn lost_line_is_written_again() -> Result<()> {
     let (a, b) = two_plain().await?;
     let world = World::with(&[&a, &b]).await?;
-    while world.store.newest_of(INSTANCES, "one").is_none() {
+    while world.store.newest_of(INSTANCE_TOPIC, "one").is_none() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    world.store.write(INSTANCES, "one", b"");
-    while world.store.newest_of(INSTANCES, "one").is_none() {
+    world.store.write(INSTANCE_TOPIC, "one", b"");
+    while world.store.newest_of(INSTANCE_TOPIC, "one").is_none() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     Ok(())
