--- a/crates/ploverwick/src/commands/show.rs
+++ b/crates/ploverwick/src/commands/show.rs
@@ -3,7 +3,7 @@
 use anyhow::{Context, Result};
 use jiff::Timestamp;
 use ploverwick_names::{Adapter, Hall};
-use ploverwick_table::terms::{Terms, resolve};
+use ploverwick_table::policy::{Policy, resolve};
 use ploverwick_table::{Subject, Table, parse};
 
 use crate::flags::table::Show;
@@ -66,7 +66,7 @@
     Ok(rows)
 }
 
-fn row(adapter: &Adapter, terms: &Terms) -> Vec<String> {
+fn row(adapter: &Adapter, terms: &Policy) -> Vec<String> {
     let or_dash = |text: Option<String>| text.unwrap_or_else(|| "-".to_owned());
     let limits: Vec<String> = terms
         .limits
--- a/crates/ploverwick_daemon/src/admin.rs
+++ b/crates/ploverwick_daemon/src/admin.rs
@@ -130,7 +130,7 @@
     if node.is_draining() {
         return text(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
     }
-    if node.in_force.borrow().version == history::NONE {
+    if node.in_force.borrow().version == history::NO_VERSION {
         return text(StatusCode::SERVICE_UNAVAILABLE, "no table in force\n");
     }
     text(StatusCode::OK, "ready\n")
--- a/crates/ploverwick_daemon/src/chain.rs
+++ b/crates/ploverwick_daemon/src/chain.rs
@@ -14,7 +14,7 @@
 use ploverwick_codes::Code;
 use ploverwick_codes::attempt::{Attempt, Verdict};
 use ploverwick_names::{Caller, Hall, Model, Moment, Request, Variant};
-use ploverwick_table::terms::Terms;
+use ploverwick_table::policy::Policy;
 
 use crate::node::Node;
 
@@ -45,7 +45,7 @@
     pub(crate) idempotent: bool,
     pub(crate) keyed: Option<Keyed>,
     pub(crate) resume_after: u64,
-    pub(crate) terms: Option<Terms>,
+    pub(crate) terms: Option<Policy>,
 }
 
 impl Exchange {
--- a/crates/ploverwick_daemon/src/chain/ready.rs
+++ b/crates/ploverwick_daemon/src/chain/ready.rs
@@ -17,7 +17,7 @@
         let verdict = refuse(Code::Draining, "this instance is leaving");
         return Err(verdict.retry_after(Duration::ZERO));
     }
-    if node.in_force.borrow().version == history::NONE {
+    if node.in_force.borrow().version == history::NO_VERSION {
         return Err(refuse(Code::NoTable, "no table is in force").retry_after(HINT));
     }
     Ok(())
--- a/crates/ploverwick_daemon/src/chain/resolve.rs
+++ b/crates/ploverwick_daemon/src/chain/resolve.rs
@@ -3,7 +3,7 @@
 use jiff::Timestamp;
 use ploverwick_codes::Code;
 use ploverwick_codes::attempt::Verdict;
-use ploverwick_table::terms;
+use ploverwick_table::policy;
 use serde_json::Value;
 
 use super::{Exchange, refuse};
@@ -13,7 +13,7 @@
 pub(super) fn apply(node: &Node, exchange: &mut Exchange) -> Result<(), Verdict> {
     let table = node.in_force.borrow().table.clone();
     let adapter = &exchange.model.adapter;
-    let resolved = terms::resolve(&table, adapter, Some(&exchange.hall), Timestamp::now());
+    let resolved = policy::resolve(&table, adapter, Some(&exchange.hall), Timestamp::now());
     let Some(terms) = resolved else {
         let message = format!("the table has no row for {adapter}");
         return Err(refuse(Code::ModelUnknown, message));
--- a/crates/ploverwick_daemon/src/entry.rs
+++ b/crates/ploverwick_daemon/src/entry.rs
@@ -83,7 +83,7 @@
             Subject::Adapter(adapter) => Some(adapter),
             Subject::Group(_) | Subject::All => None,
         });
-        let named = adapters.map(|adapter| match table.pinned(adapter) {
+        let named = adapters.map(|adapter| match table.pinned_version(adapter) {
             Some(version) => format!("{adapter}@{version}"),
             None => adapter.to_string(),
         });
--- a/crates/ploverwick_daemon/src/owner/task.rs
+++ b/crates/ploverwick_daemon/src/owner/task.rs
@@ -12,7 +12,7 @@
 use ploverwick_owner::tenure::{Standing, Tenure};
 use ploverwick_ports::engine::Engine;
 use ploverwick_ports::roster::{EndpointEntry, Fencing, State};
-use ploverwick_table::terms::DEFAULT_WEIGHT;
+use ploverwick_table::policy::DEFAULT_WEIGHT;
 use ploverwick_timeline::{Event, Kind};
 use ploverwick_wire::{Frame, Order, understands};
 use tokio::sync::{mpsc, oneshot};
--- a/crates/ploverwick_daemon/src/relay.rs
+++ b/crates/ploverwick_daemon/src/relay.rs
@@ -11,7 +11,7 @@
 
 use ploverwick_codes::attempt::{Attempt, Refusal, Sent, Verdict};
 use ploverwick_codes::{Class, Code};
-use ploverwick_table::terms::DEFAULT_WEIGHT;
+use ploverwick_table::policy::DEFAULT_WEIGHT;
 use ploverwick_timeline::{Event, Kind};
 use ploverwick_wire::{End, Head as WireHead, Order, PROTOCOL, frame};
 
--- a/crates/ploverwick_gateway/src/filters/terms.rs
+++ b/crates/ploverwick_gateway/src/filters/terms.rs
@@ -5,7 +5,7 @@
 use jiff::Timestamp;
 use ploverwick_codes::Code;
 use ploverwick_names::{Adapter, Hall};
-use ploverwick_table::terms::{DEFAULT_PRIORITY, resolve};
+use ploverwick_table::policy::{DEFAULT_PRIORITY, resolve};
 
 use super::reply::Reply;
 use super::task::{MOST_URGENT, Task, Terms};
--- a/crates/ploverwick_operator/src/publish.rs
+++ b/crates/ploverwick_operator/src/publish.rs
@@ -7,7 +7,7 @@
 use ploverwick_ports::client::Fault;
 use ploverwick_ports::log::Log;
 use ploverwick_table::Table;
-use ploverwick_table::history::{NONE, Patch, Record, Verdict};
+use ploverwick_table::history::{NO_VERSION, Patch, Record, Verdict};
 use ploverwick_table::patch::diff;
 
 use crate::stream::{Entry, Stream, StreamError, TABLE};
@@ -59,7 +59,7 @@
     author: &str,
 ) -> Result<Published, PublishError> {
     let mut stream = Stream::default();
-    let mut at_base = (base == NONE).then(Arc::default);
+    let mut at_base = (base == NO_VERSION).then(Arc::default);
     stream
         .read(log, Duration::ZERO, |entry, table| {
             if reached(&entry, base) {
--- a/crates/ploverwick_table/src/cell.rs
+++ b/crates/ploverwick_table/src/cell.rs
@@ -1,4 +1,4 @@
-//! The parts of a table: subjects of rows, columns and cell values.
+//! The parts of a table: row subjects, columns and cell values.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,9 +13,9 @@
 const ALL: &str = "*";
 const MAX_WEIGHT: f64 = 1000.0;
 const MAX_PRIORITY: u8 = 9;
-const MAX_LIMIT: f64 = 1_000_000.0;
+const MAX_REQUESTS_PER_SECOND: f64 = 1_000_000.0;
 
-/// What a row is about.
+/// The adapters that a row applies to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Subject {
@@ -27,28 +27,28 @@
     Adapter(Adapter),
 }
 
-/// What a column sets.
+/// The setting that a column controls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Field {
-    /// The version that a request without one runs on.
+    /// The version used for requests that do not name one.
     Version,
     /// The group that an adapter belongs to.
     Group,
-    /// The adapter's share when requests compete, above 0 and up to 1000.
+    /// The adapter's scheduling weight under contention, above 0 and up to 1000.
     Weight,
-    /// The priority, 0 to 9; 9 runs first.
+    /// The scheduling priority, 0 to 9; 9 runs first.
     Priority,
-    /// The most requests admitted a second over the whole fleet.
+    /// The maximum number of requests admitted per second across the fleet.
     Limit,
 }
 
-/// A column: what it sets, and for which requests.
+/// A column: the setting it controls and the requests it applies to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Column {
-    /// What the column sets.
+    /// The setting that the column controls.
     pub field: Field,
-    /// The requests that the column is for.
+    /// The requests that the column applies to.
     pub selector: Selector,
 }
 
@@ -63,12 +63,12 @@
     Weight(f64),
     /// A priority.
     Priority(u8),
-    /// A limit in requests a second.
+    /// A limit in requests per second.
     Limit(f64),
 }
 
 impl Field {
-    /// Lists every field with its header.
+    /// All fields with their headers.
     pub const ALL: &'static [(Self, &'static str)] = &[
         (Self::Version, "version"),
         (Self::Group, "group"),
@@ -77,7 +77,7 @@
         (Self::Limit, "limit"),
     ];
 
-    /// Returns the header of the field's plain column.
+    /// Returns the header of the field's column without a selector.
     pub fn header(self) -> &'static str {
         match self {
             Self::Version => "version",
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Says whether the field may have a selector, and stand in any kind of row.
+    /// Returns whether the field is allowed in every kind of row and may have a selector.
     pub fn is_policy(self) -> bool {
         matches!(self, Self::Weight | Self::Priority | Self::Limit)
     }
@@ -134,8 +134,8 @@
             .iter()
             .find(|(_, known)| *known == header)
             .ok_or(Rule::ColumnUnknown)?;
-        let plain = selector == Selector::default();
-        if !plain && !field.is_policy() {
+        let unselective = selector == Selector::default();
+        if !unselective && !field.is_policy() {
             return Err(Rule::SelectorMalformed);
         }
         Ok(Self {
@@ -152,10 +152,10 @@
 }
 
 impl Value {
-    /// Reads a cell of the given field.
+    /// Parses the text of a cell in a column of the given field.
     ///
     /// # Errors
-    /// Returns the rule that the text breaks.
+    /// Returns the rule that the text violates.
     pub fn parse(field: Field, text: &str) -> Result<Self, Rule> {
         match field {
             Field::Version => Version::new(text)
@@ -173,16 +173,16 @@
                 .filter(|priority| *priority <= MAX_PRIORITY)
                 .map(Self::Priority)
                 .ok_or(Rule::PriorityMalformed),
-            Field::Limit => parse_number(text, 0.0, MAX_LIMIT)
+            Field::Limit => parse_number(text, 0.0, MAX_REQUESTS_PER_SECOND)
                 .map(Self::Limit)
                 .ok_or(Rule::LimitMalformed),
         }
     }
 }
 
-fn parse_number(text: &str, least: f64, most: f64) -> Option<f64> {
+fn parse_number(text: &str, min: f64, max: f64) -> Option<f64> {
     let number = text.parse::<f64>().ok()?;
-    (least..=most).contains(&number).then_some(number)
+    (min..=max).contains(&number).then_some(number)
 }
 
 impl fmt::Display for Value {
@@ -196,7 +196,7 @@
     }
 }
 
-macro_rules! text_form {
+macro_rules! impl_string_conversions {
     ($($name:ident)*) => {$(
         impl TryFrom<String> for $name {
             type Error = &'static str;
@@ -213,4 +213,4 @@
     )*};
 }
 
-text_form! { Subject Column }
+impl_string_conversions! { Subject Column }
--- a/crates/ploverwick_table/src/history.rs
+++ b/crates/ploverwick_table/src/history.rs
@@ -1,12 +1,12 @@
-//! Decides which publications are accepted.
+//! Replays the log's table stream and decides which patches are accepted.
 //!
-//! Every reader of the log's table stream applies the same records in the same order and so comes
-//! to the same verdicts. A [`Patch`] names the version that it was edited from. It is accepted if
-//! that is the newest version, or if no row that it touches has changed since. The version of an
-//! accepted patch is its offset in the log, so versions only rise.
+//! Replay is deterministic: every reader applies the same records in the same order and reaches
+//! the same verdicts. Concurrency control is optimistic. A [`Patch`] names its base version and is
+//! accepted if that is the newest version, or if none of the rows it edits has changed since. The
+//! version of an accepted patch is its offset in the log, so versions increase monotonically.
 //!
-//! Records expire from the log. A [`Snapshot`] is appended from time to time; a reader that has
-//! lost records adopts one and replays what follows it.
+//! Records expire from the log, so a [`Snapshot`] is appended periodically. A reader that has
+//! missed records loads a snapshot and replays the records after it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,42 +19,43 @@
 use crate::patch::{self, Edit};
 use crate::{Subject, Table, parse};
 
-/// The version of a history that has accepted nothing.
-pub const NONE: Offset = Offset(0);
+/// The version before the first accepted patch.
+pub const NO_VERSION: Offset = Offset(0);
 
 /// A record of the table stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
-    /// A publication.
+    /// A patch published by an operator.
     Patch(Patch),
-    /// A copy of everything accepted so far.
+    /// A copy of the state after all records so far.
     Snapshot(Snapshot),
 }
 
-/// A publication by an operator.
+/// A set of edits published by an operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Patch {
-    /// Tells this publication from any other, so that a lost answer can be resolved.
+    /// A unique identifier, used to find the patch in the log after the response to its append was
+    /// lost.
     pub id: String,
-    /// Who published it.
+    /// The operator who published the patch.
     pub author: String,
-    /// The version that it was edited from.
+    /// The version that the edits are based on.
     pub base: Offset,
-    /// The changed rows.
+    /// The edited rows.
     pub edits: Vec<Edit>,
 }
 
-/// A copy of a history.
+/// A copy of the state of a [`History`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The version in force.
+    /// The version of the table.
     pub version: Offset,
-    /// The last offset that the copy takes into account.
+    /// The last offset included in the snapshot.
     pub through: Offset,
     /// The table as CSV.
     pub csv: String,
-    /// When each row changed last. A removed row stays listed.
+    /// The version of each row's last change, including rows that have been removed.
     pub changed: Vec<Changed>,
 }
 
@@ -63,70 +64,73 @@
 pub struct Changed {
     /// The row.
     pub subject: Subject,
-    /// The version that changed it last.
+    /// The version of the change.
     pub version: Offset,
 }
 
-/// What became of a record.
+/// The result of applying a record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// The patch is in force as this version.
+    /// The patch was accepted as this version.
     Accepted(Offset),
-    /// Rows that the patch touches have changed since its base.
+    /// The patch was rejected: rows that it edits have changed since its base version.
     Clash(Vec<Changed>),
-    /// The patch's result would break a rule of tables.
+    /// The patch was rejected: the resulting table would violate a rule.
     Invalid(Rule),
-    /// The patch names a base that this history has never reached.
+    /// The patch was rejected: its base is newer than the current version.
     BaseUnknown,
-    /// Records are missing; the patch waits for a snapshot.
+    /// The patch is held back until a snapshot covers the missing records.
     Deferred,
-    /// The snapshot filled a gap.
+    /// The snapshot replaced the current state.
     Adopted(Offset),
-    /// The snapshot has the same version but another content: a defect worth an alarm.
+    /// The snapshot has the current version but different content, which indicates a bug in replay.
     Diverged,
-    /// The record says nothing new.
+    /// The record has no effect.
     Ignored,
 }
 
-/// Everything accepted so far.
+/// The state replayed from the table stream.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     table: Arc<Table>,
     version: Offset,
     through: Offset,
     changed: BTreeMap<Subject, Offset>,
-    /// The first offset read after a gap, and the records since; `None` without a gap.
+    /// The gap in the records read, if any.
     gap: Option<Gap>,
 }
 
+/// A run of missing records.
 #[derive(Debug, Clone)]
 struct Gap {
+    /// The first offset read after the gap.
     first: Offset,
-    waiting: Vec<(Offset, Patch)>,
+    /// The patches read since, held back until a snapshot covers the gap.
+    deferred: Vec<(Offset, Patch)>,
 }
 
 impl History {
-    /// Returns the table in force.
+    /// Returns the current table.
     pub fn table(&self) -> &Arc<Table> {
         &self.table
     }
 
-    /// Returns the version in force, [`NONE`] before the first.
+    /// Returns the current version, or [`NO_VERSION`] before the first accepted patch.
     pub fn version(&self) -> Offset {
         self.version
     }
 
-    /// Returns the offset to read next.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> Offset {
         Offset(self.through.0 + 1)
     }
 
-    /// Says whether records are missing, so that no patch can be judged.
+    /// Returns whether records are missing, so that patches cannot be evaluated.
     pub fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// Copies the history for a reader that has lost records.
+    /// Creates a snapshot for readers that have missed records.
     pub fn snapshot(&self) -> Snapshot {
         let changed = self.changed.iter().map(|(subject, version)| Changed {
             subject: subject.clone(),
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Takes the next record of the stream into account.
+    /// Applies the next record of the stream; records already read are ignored.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         if offset <= self.through {
             return Verdict::Ignored;
@@ -152,26 +156,26 @@
         }
     }
 
-    /// Passes over a record that cannot be read.
+    /// Skips a record that cannot be decoded.
     pub fn skip(&mut self, offset: Offset) {
         if offset > self.through {
             self.advance(offset);
         }
     }
 
-    /// Moves on to a record, noting a gap if others are missing before it. A second gap replaces
-    /// the first: what waits from between them can no longer be judged.
+    /// Advances to the record at `offset`, opening a gap if records before it are missing. A second
+    /// gap replaces the first, because patches held back between the two can no longer be evaluated.
     fn advance(&mut self, offset: Offset) {
         if offset != self.next() {
             self.gap = Some(Gap {
                 first: offset,
-                waiting: Vec::new(),
+                deferred: Vec::new(),
             });
         }
         self.through = offset;
     }
 
-    /// Takes a copy from a peer, if it is newer.
+    /// Replaces the state with a snapshot from a peer, if the snapshot is newer and covers any gap.
     pub fn adopt(&mut self, snapshot: &Snapshot) -> Verdict {
         let useful = match &self.gap {
             Some(gap) => snapshot.through.0 + 1 >= gap.first.0,
@@ -186,14 +190,14 @@
     fn apply_patch(&mut self, offset: Offset, patch: &Patch) -> Verdict {
         match &mut self.gap {
             Some(gap) => {
-                gap.waiting.push((offset, patch.clone()));
+                gap.deferred.push((offset, patch.clone()));
                 Verdict::Deferred
             }
-            None => self.judge(offset, patch),
+            None => self.evaluate(offset, patch),
         }
     }
 
-    fn judge(&mut self, offset: Offset, patch: &Patch) -> Verdict {
+    fn evaluate(&mut self, offset: Offset, patch: &Patch) -> Verdict {
         if patch.base > self.version {
             return Verdict::BaseUnknown;
         }
@@ -228,14 +232,16 @@
 
     fn apply_snapshot(&mut self, snapshot: &Snapshot) -> Verdict {
         match &self.gap {
-            // A snapshot fills the gap only if every record after it has been read.
+            // A snapshot covers the gap only if every record after the snapshot has been read.
             Some(gap) if snapshot.through.0 + 1 >= gap.first.0 => self.replace(snapshot),
-            None if snapshot.version == self.version && !self.agrees(snapshot) => Verdict::Diverged,
+            None if snapshot.version == self.version && !self.has_same_content(snapshot) => {
+                Verdict::Diverged
+            }
             Some(_) | None => Verdict::Ignored,
         }
     }
 
-    fn agrees(&self, snapshot: &Snapshot) -> bool {
+    fn has_same_content(&self, snapshot: &Snapshot) -> bool {
         let own = parse::write(&self.table);
         xxh3_64(own.as_bytes()) == xxh3_64(snapshot.csv.as_bytes())
     }
@@ -246,15 +252,15 @@
         } else {
             match parse::parse(&snapshot.csv) {
                 Ok(table) => table,
-                Err(findings) => {
-                    let rule = findings
+                Err(diagnostics) => {
+                    let rule = diagnostics
                         .first()
-                        .map_or(Rule::NotCsv, |finding| finding.rule);
+                        .map_or(Rule::NotCsv, |diagnostic| diagnostic.rule);
                     return Verdict::Invalid(rule);
                 }
             }
         };
-        let waiting = self.gap.take().map(|gap| gap.waiting).unwrap_or_default();
+        let deferred = self.gap.take().map(|gap| gap.deferred).unwrap_or_default();
         self.table = Arc::new(table);
         self.version = snapshot.version;
         self.through = self.through.max(snapshot.through);
@@ -262,9 +268,9 @@
         self.changed = changed
             .map(|row| (row.subject.clone(), row.version))
             .collect();
-        for (offset, patch) in waiting {
+        for (offset, patch) in deferred {
             if offset > snapshot.through {
-                self.judge(offset, &patch);
+                self.evaluate(offset, &patch);
             }
         }
         Verdict::Adopted(self.version)
--- a/crates/ploverwick_table/src/lib.rs
+++ b/crates/ploverwick_table/src/lib.rs
@@ -1,16 +1,16 @@
-//! The operators' table.
+//! The operators' policy table.
 //!
-//! A table is a set of rows, each a set of cells. [`parse`] reads it from CSV, [`terms`] resolves
-//! what is in force for one request, [`patch`] finds what differs between two tables, and
-//! [`history`] decides, the same way on every reader of the log, which publications are accepted.
+//! A table is a set of rows, each a set of cells. [`parse`] reads and writes it as CSV, [`policy`]
+//! resolves the settings that apply to a request, [`patch`] computes the difference between two
+//! tables, and [`history`] replays the log deterministically to decide which patches are accepted.
 
 mod cell;
 pub mod history;
 pub mod parse;
 pub mod patch;
+pub mod policy;
 mod selector;
 mod table;
-pub mod terms;
 
 pub use cell::{Column, Field, Subject, Value};
 pub use selector::{Selector, Window};
--- a/crates/ploverwick_table/src/parse.rs
+++ b/crates/ploverwick_table/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a table from CSV and writes it back.
+//! Parses a table from CSV and writes it back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,53 +7,55 @@
 
 use crate::{Column, Field, Row, Subject, Table, Value};
 
-const NAME: &str = "name";
-const MAX_DISTANCE: usize = 3;
+const NAME_HEADER: &str = "name";
+const MAX_EDIT_DISTANCE: usize = 3;
 
-/// Reads a table.
+/// Parses a table from CSV.
 ///
 /// # Errors
-/// Returns every finding of the file at once, by rising line.
+/// Returns all diagnostics for the file, ordered by line.
 pub fn parse(text: &str) -> Result<Table, Vec<Diagnostic>> {
     let mut reader = ReaderBuilder::new()
         .flexible(true)
         .trim(Trim::All)
         .comment(Some(b'#'))
         .from_reader(text.as_bytes());
-    let mut findings = Findings::default();
+    let mut diagnostics = Diagnostics::default();
     let columns = match reader.headers() {
-        Ok(headers) => read_headers(headers, &mut findings),
+        Ok(headers) => read_headers(headers, &mut diagnostics),
         Err(error) => {
-            findings.add(Rule::NotCsv, 1, "", "", &error.to_string());
-            return Err(findings.list);
+            diagnostics.add(Rule::NotCsv, 1, "", "", &error.to_string());
+            return Err(diagnostics.list);
         }
     };
     let mut table = Table::default();
     let mut lines = BTreeMap::new();
     for record in reader.records() {
         match record {
-            Ok(record) => read_row(&record, &columns, &mut table, &mut lines, &mut findings),
+            Ok(record) => read_row(&record, &columns, &mut table, &mut lines, &mut diagnostics),
             Err(error) => {
                 let line = error.position().map_or(0, csv::Position::line);
-                findings.add(Rule::NotCsv, line, "", "", &error.to_string());
+                diagnostics.add(Rule::NotCsv, line, "", "", &error.to_string());
             }
         }
     }
-    check_groups(&table, &lines, &mut findings);
-    if findings.list.is_empty() {
+    check_groups(&table, &lines, &mut diagnostics);
+    if diagnostics.list.is_empty() {
         return Ok(table);
     }
-    findings.list.sort_by_key(|finding| finding.line);
-    Err(findings.list)
+    diagnostics.list.sort_by_key(|diagnostic| diagnostic.line);
+    Err(diagnostics.list)
 }
 
-/// Writes a table in the order of its subjects and columns.
+/// Writes a table as CSV, ordered by subject and column.
 pub fn write(table: &Table) -> String {
     let columns: BTreeSet<&Column> = table.rows().flat_map(|(_, row)| row.keys()).collect();
     let mut writer = csv::Writer::from_writer(Vec::new());
     let headers = columns.iter().map(ToString::to_string);
-    let headers: Vec<String> = std::iter::once(NAME.to_owned()).chain(headers).collect();
-    // Writing to memory cannot fail, and every record has the header's length.
+    let headers: Vec<String> = std::iter::once(NAME_HEADER.to_owned())
+        .chain(headers)
+        .collect();
+    // Writing to memory does not fail, and every record is as long as the header.
     let _ = writer.write_record(&headers);
     for (subject, row) in table.rows() {
         let cells = columns
@@ -67,11 +69,11 @@
 }
 
 #[derive(Default)]
-struct Findings {
+struct Diagnostics {
     list: Vec<Diagnostic>,
 }
 
-impl Findings {
+impl Diagnostics {
     fn add(&mut self, rule: Rule, line: u64, column: &str, cell: &str, detail: &str) {
         self.list.push(Diagnostic {
             rule,
@@ -83,11 +85,11 @@
     }
 }
 
-/// Reads the header line. A bad column is `None`, so that cells below it are passed over.
-fn read_headers(headers: &StringRecord, findings: &mut Findings) -> Vec<Option<Column>> {
-    if headers.get(0) != Some(NAME) {
+/// Parses the header line. An invalid column becomes `None`, so that its cells are skipped.
+fn read_headers(headers: &StringRecord, diagnostics: &mut Diagnostics) -> Vec<Option<Column>> {
+    if headers.get(0) != Some(NAME_HEADER) {
         let cell = headers.get(0).unwrap_or_default();
-        findings.add(Rule::NoNameColumn, 1, "", cell, "");
+        diagnostics.add(Rule::NoNameColumn, 1, "", cell, "");
     }
     let mut seen = BTreeSet::new();
     let mut columns = Vec::new();
@@ -95,11 +97,11 @@
         match header.parse::<Column>() {
             Ok(column) if seen.insert(column.clone()) => columns.push(Some(column)),
             Ok(_) => {
-                findings.add(Rule::ColumnTwice, 1, header, "", "");
+                diagnostics.add(Rule::ColumnTwice, 1, header, "", "");
                 columns.push(None);
             }
             Err(rule) => {
-                findings.add(rule, 1, header, "", &nearest_header(rule, header));
+                diagnostics.add(rule, 1, header, "", &nearest_header(rule, header));
                 columns.push(None);
             }
         }
@@ -117,7 +119,9 @@
         .map(|(_, known)| (strsim::levenshtein(known, word), known))
         .min();
     match nearest {
-        Some((distance, known)) if distance <= MAX_DISTANCE => format!("Did you mean {known:?}?"),
+        Some((distance, known)) if distance <= MAX_EDIT_DISTANCE => {
+            format!("Did you mean {known:?}?")
+        }
         _ => String::new(),
     }
 }
@@ -127,7 +131,7 @@
     columns: &[Option<Column>],
     table: &mut Table,
     lines: &mut BTreeMap<Subject, u64>,
-    findings: &mut Findings,
+    diagnostics: &mut Diagnostics,
 ) {
     let line = record.position().map_or(0, csv::Position::line);
     let name = record.get(0).unwrap_or_default();
@@ -137,19 +141,19 @@
             record.len(),
             columns.len() + 1
         );
-        findings.add(Rule::NotCsv, line, "", name, &detail);
+        diagnostics.add(Rule::NotCsv, line, "", name, &detail);
     }
     let subject = match name.parse::<Subject>() {
         Ok(subject) => subject,
         Err(rule) => {
-            findings.add(rule, line, NAME, name, "");
+            diagnostics.add(rule, line, NAME_HEADER, name, "");
             return;
         }
     };
-    let row = read_cells(record, columns, &subject, line, findings);
+    let row = read_cells(record, columns, &subject, line, diagnostics);
     if let Some(first) = lines.get(&subject) {
         let detail = format!("The first one is in line {first}.");
-        findings.add(Rule::SubjectTwice, line, NAME, name, &detail);
+        diagnostics.add(Rule::SubjectTwice, line, NAME_HEADER, name, &detail);
         return;
     }
     lines.insert(subject.clone(), line);
@@ -161,7 +165,7 @@
     columns: &[Option<Column>],
     subject: &Subject,
     line: u64,
-    findings: &mut Findings,
+    diagnostics: &mut Diagnostics,
 ) -> Row {
     let mut row = Row::new();
     for (cell, column) in record.iter().skip(1).zip(columns) {
@@ -170,22 +174,22 @@
             continue;
         }
         if !column.field.is_policy() && !matches!(subject, Subject::Adapter(_)) {
-            findings.add(Rule::CellMisplaced, line, &column.to_string(), cell, "");
+            diagnostics.add(Rule::CellMisplaced, line, &column.to_string(), cell, "");
             continue;
         }
         match Value::parse(column.field, cell) {
             Ok(value) => {
                 row.insert(column.clone(), value);
             }
-            Err(rule) => findings.add(rule, line, &column.to_string(), cell, ""),
+            Err(rule) => diagnostics.add(rule, line, &column.to_string(), cell, ""),
         }
     }
     row
 }
 
-fn check_groups(table: &Table, lines: &BTreeMap<Subject, u64>, findings: &mut Findings) {
-    for (subject, group) in table.orphans() {
+fn check_groups(table: &Table, lines: &BTreeMap<Subject, u64>, diagnostics: &mut Diagnostics) {
+    for (subject, group) in table.missing_groups() {
         let line = lines.get(subject).copied().unwrap_or_default();
-        findings.add(Rule::GroupMissing, line, "group", group.as_str(), "");
+        diagnostics.add(Rule::GroupMissing, line, "group", group.as_str(), "");
     }
 }
--- a/crates/ploverwick_table/src/patch.rs
+++ b/crates/ploverwick_table/src/patch.rs
@@ -13,17 +13,17 @@
 pub struct Edit {
     /// The row.
     pub subject: Subject,
-    /// What happens to it.
+    /// The change to the row.
     pub change: Change,
 }
 
-/// What happens to a row.
+/// How an edit changes a row.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// The row goes.
+    /// Removes the row.
     Remove,
-    /// Cells are set; the row is made if it is missing.
+    /// Sets cells, creating the row if it does not exist.
     Set(Vec<Cell>),
 }
 
@@ -32,11 +32,11 @@
 pub struct Cell {
     /// The cell's column.
     pub column: Column,
-    /// The cell's text; `None` empties it.
+    /// The new text; `None` clears the cell.
     pub text: Option<String>,
 }
 
-/// Finds the edits that turn `before` into `after`.
+/// Computes the edits that turn `before` into `after`.
 pub fn diff(before: &Table, after: &Table) -> Vec<Edit> {
     let removed = before
         .rows()
@@ -73,8 +73,8 @@
 /// Applies edits to a table.
 ///
 /// # Errors
-/// Returns the rule that a cell breaks, or [`Rule::GroupMissing`] if the result names a group
-/// without a row. The table is then half changed and must be dropped.
+/// Returns the rule that a cell violates, or [`Rule::GroupMissing`] if the result refers to a group
+/// that has no row. On error the edits may be partly applied, so the table must be discarded.
 pub fn apply(table: &mut Table, edits: &[Edit]) -> Result<(), Rule> {
     for edit in edits {
         match &edit.change {
@@ -82,7 +82,7 @@
             Change::Set(cells) => set_cells(table, &edit.subject, cells)?,
         }
     }
-    match table.orphans().next() {
+    match table.missing_groups().next() {
         Some(_) => Err(Rule::GroupMissing),
         None => Ok(()),
     }
--- a/crates/ploverwick_table/src/terms.rs
+++ b/crates/ploverwick_table/src/policy.rs
@@ -1,34 +1,34 @@
-//! Resolves what is in force for one request.
+//! Resolves the policy that applies to a request.
 //!
-//! For version, weight and priority the more specific row wins (adapter, then its group, then
-//! `*`), and within a row the more specific column ([`crate::Selector::rank`]). A limit bounds the
-//! subject of its row as a whole, so the limits of adapter, group and `*` hold together; within
-//! each row the more specific column wins.
+//! For weight and priority the most specific row wins (adapter, then its group, then `*`), and
+//! within a row the most specific column ([`crate::Selector::specificity`]). The version is set
+//! only in adapter rows. A limit is shared by all requests of its row's subject, so the limits of
+//! adapter, group and `*` apply together; within each row the most specific column wins.
 
 use jiff::Timestamp;
 use ploverwick_names::{Adapter, Group, Hall, Version};
 
 use crate::{Column, Field, Row, Subject, Table, Value};
 
-/// The weight of an adapter for which no cell sets one.
+/// The weight of an adapter without a weight cell.
 pub const DEFAULT_WEIGHT: f64 = 1.0;
-/// The priority of an adapter for which no cell sets one.
+/// The priority of an adapter without a priority cell.
 pub const DEFAULT_PRIORITY: u8 = 5;
 
 /// A limit that applies to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limit {
-    /// The row that sets it; the limit bounds all requests of this subject together.
+    /// The subject of the row; all requests of this subject share the limit.
     pub subject: Subject,
-    /// The column that sets it.
+    /// The column that sets the limit.
     pub column: Column,
-    /// The most requests a second over the fleet.
+    /// The maximum number of requests per second across the fleet.
     pub rate: f64,
 }
 
-/// What the table says of one request.
+/// The settings that apply to a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
+pub struct Policy {
     /// The pinned version.
     pub version: Option<Version>,
     /// The adapter's group.
@@ -37,17 +37,18 @@
     pub weight: f64,
     /// The adapter's priority.
     pub priority: u8,
-    /// Every limit that applies, most specific subject first.
+    /// All limits that apply, most specific subject first.
     pub limits: Vec<Limit>,
 }
 
-/// Resolves the terms for a request from `hall` at `at`; `None` if no row covers the adapter.
+/// Resolves the policy for a request that arrives from `hall` at `at`. Returns `None` if no row
+/// covers the adapter.
 pub fn resolve(
     table: &Table,
     adapter: &Adapter,
     hall: Option<&Hall>,
     at: Timestamp,
-) -> Option<Terms> {
+) -> Option<Policy> {
     let group = table.group_of(adapter).cloned();
     let subjects = [
         Some(Subject::Adapter(adapter.clone())),
@@ -67,7 +68,7 @@
     }
     let first = |field| {
         rows.iter()
-            .find_map(|(_, row)| best(row, field, hall, at).map(|(_, value)| value))
+            .find_map(|(_, row)| most_specific(row, field, hall, at).map(|(_, value)| value))
     };
     let weight = match first(Field::Weight) {
         Some(Value::Weight(weight)) => *weight,
@@ -81,8 +82,8 @@
         .iter()
         .filter_map(|(subject, row)| limit(subject, row, hall, at))
         .collect();
-    Some(Terms {
-        version: table.pinned(adapter).cloned(),
+    Some(Policy {
+        version: table.pinned_version(adapter).cloned(),
         group,
         weight,
         priority,
@@ -91,7 +92,7 @@
 }
 
 fn limit(subject: &Subject, row: &Row, hall: Option<&Hall>, at: Timestamp) -> Option<Limit> {
-    match best(row, Field::Limit, hall, at) {
+    match most_specific(row, Field::Limit, hall, at) {
         Some((column, Value::Limit(rate))) => Some(Limit {
             subject: subject.clone(),
             column: column.clone(),
@@ -101,14 +102,14 @@
     }
 }
 
-/// Finds the most specific cell of a field in a row.
-fn best<'a>(
+/// Returns the most specific matching cell of a field in a row.
+fn most_specific<'a>(
     row: &'a Row,
     field: Field,
     hall: Option<&Hall>,
     at: Timestamp,
 ) -> Option<(&'a Column, &'a Value)> {
     row.iter()
-        .filter(|(column, _)| column.field == field && column.selector.chooses(hall, at))
-        .max_by_key(|(column, _)| column.selector.rank())
+        .filter(|(column, _)| column.field == field && column.selector.matches(hall, at))
+        .max_by_key(|(column, _)| column.selector.specificity())
 }
--- a/crates/ploverwick_table/src/selector.rs
+++ b/crates/ploverwick_table/src/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors of columns: a hall, a window of the day, or both.
+//! Column selectors: a hall, a time window, or both.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 const MINUTES_PER_DAY: u16 = 24 * MINUTES_PER_HOUR;
 const DEFAULT_ZONE: &str = "UTC";
 
-/// A window of the day in a time zone, such as `08:00-10:30 Africa/Tunis`.
+/// A daily time window in a time zone, such as `08:00-10:30 Africa/Tunis`.
 ///
-/// A window whose end is not after its start runs over midnight.
+/// A window whose end is not after its start spans midnight.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Window {
-    /// The first minute of the day inside the window.
+    /// The start, in minutes since midnight (inclusive).
     pub from: u16,
-    /// The first minute of the day after the window.
+    /// The end, in minutes since midnight (exclusive).
     pub to: u16,
     /// The IANA name of the time zone.
     pub zone: Arc<str>,
 }
 
-/// Chooses the requests that a column is for. Empty chooses all.
+/// Selects the requests that a column applies to. An empty selector matches all requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Selector {
-    /// The hall that requests come from.
+    /// The hall that the requests come from.
     pub hall: Option<Hall>,
-    /// The window of the day.
+    /// The time window in which the requests arrive.
     pub window: Option<Window>,
 }
 
@@ -41,9 +41,9 @@
         if span == 0 { MINUTES_PER_DAY } else { span }
     }
 
-    /// Says whether `at` lies inside the window.
-    pub fn holds(&self, at: Timestamp) -> bool {
-        // A zone that parsed once is in the bundled database of every build.
+    /// Returns whether `at` lies within the window.
+    pub fn contains(&self, at: Timestamp) -> bool {
+        // The zone was checked when it was parsed, and every build bundles the time zone database.
         let Ok(zone) = TimeZone::get(&self.zone) else {
             return false;
         };
@@ -57,10 +57,10 @@
 }
 
 impl Selector {
-    /// Reads the text between the brackets, such as `lac 08:00-10:30 Africa/Tunis`.
+    /// Parses the text between the brackets, such as `lac 08:00-10:30 Africa/Tunis`.
     ///
     /// # Errors
-    /// Returns the rule that the text breaks.
+    /// Returns the rule that the text violates.
     pub fn parse(text: &str) -> Result<Self, Rule> {
         let mut selector = Self::default();
         let mut words = text.split_whitespace().peekable();
@@ -76,17 +76,21 @@
         Ok(selector)
     }
 
-    /// Says whether the selector chooses a request from `hall` at `at`.
-    pub fn chooses(&self, hall: Option<&Hall>, at: Timestamp) -> bool {
-        let hall_fits = self.hall.is_none() || self.hall.as_ref() == hall;
-        hall_fits && self.window.as_ref().is_none_or(|window| window.holds(at))
+    /// Returns whether the selector matches a request that arrives from `hall` at `at`.
+    pub fn matches(&self, hall: Option<&Hall>, at: Timestamp) -> bool {
+        let hall_matches = self.hall.is_none() || self.hall.as_ref() == hall;
+        hall_matches
+            && self
+                .window
+                .as_ref()
+                .is_none_or(|window| window.contains(at))
     }
 
-    /// Ranks the selector: a higher rank is more specific.
+    /// Returns a sort key that is greater for more specific selectors.
     ///
-    /// A hall with a window comes before a hall, that before a window, that before neither; of
-    /// two windows the shorter one comes first.
-    pub fn rank(&self) -> (u8, u16) {
+    /// From most to least specific: hall and window, hall only, window only, neither. A shorter
+    /// window is more specific than a longer one.
+    pub fn specificity(&self) -> (u8, u16) {
         let kind = match (&self.hall, &self.window) {
             (Some(_), Some(_)) => 3,
             (Some(_), None) => 2,
@@ -116,7 +120,7 @@
     })
 }
 
-/// Reads a time of day such as `08:30`; `24:00` is the end of the day.
+/// Parses a time of day such as `08:30` into minutes since midnight; `24:00` is the end of the day.
 fn parse_minute(text: &str) -> Result<u16, Rule> {
     let (hour, minute) = text.split_once(':').ok_or(Rule::SelectorMalformed)?;
     let two_digits = |part: &str| {
@@ -134,9 +138,9 @@
 
 impl fmt::Display for Window {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let clock = |minute: u16| (minute / MINUTES_PER_HOUR, minute % MINUTES_PER_HOUR);
-        let (from_hour, from_minute) = clock(self.from);
-        let (to_hour, to_minute) = clock(self.to);
+        let hour_and_minute = |minute: u16| (minute / MINUTES_PER_HOUR, minute % MINUTES_PER_HOUR);
+        let (from_hour, from_minute) = hour_and_minute(self.from);
+        let (to_hour, to_minute) = hour_and_minute(self.to);
         write!(
             f,
             "{from_hour:02}:{from_minute:02}-{to_hour:02}:{to_minute:02} {}",
--- a/crates/ploverwick_table/src/table.rs
+++ b/crates/ploverwick_table/src/table.rs
@@ -1,4 +1,4 @@
-//! A table in memory.
+//! The in-memory table.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use crate::{Column, Field, Selector, Subject, Value};
 
-/// The cells of one row that are not empty.
+/// The non-empty cells of a row.
 pub type Row = BTreeMap<Column, Value>;
 
-/// A whole table. Rows are shared, so that a clone and a patch are cheap.
+/// A table. Rows are reference-counted, so cloning and patching a table is cheap.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
     rows: BTreeMap<Subject, Arc<Row>>,
@@ -22,7 +22,7 @@
         self.rows.get(subject)
     }
 
-    /// Lists all rows in the order of their subjects.
+    /// Returns all rows, ordered by subject.
     pub fn rows(&self) -> impl Iterator<Item = (&Subject, &Arc<Row>)> {
         self.rows.iter()
     }
@@ -32,22 +32,23 @@
         self.rows.len()
     }
 
-    /// Says whether the table has no row.
+    /// Returns whether the table has no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Puts a row in place of the subject's earlier one.
+    /// Inserts a row, replacing the subject's existing one.
     pub fn insert(&mut self, subject: Subject, row: Row) {
         self.rows.insert(subject, Arc::new(row));
     }
 
-    /// Takes the subject's row away.
+    /// Removes the subject's row.
     pub fn remove(&mut self, subject: &Subject) {
         self.rows.remove(subject);
     }
 
-    /// Sets one cell; `None` empties it. The row is made if need be and stays if it grows empty.
+    /// Sets one cell; `None` clears it. Creates the row if it does not exist, and keeps a row whose
+    /// last cell is cleared.
     pub fn set(&mut self, subject: &Subject, column: Column, value: Option<Value>) {
         let row = self.rows.entry(subject.clone()).or_default();
         let row = Arc::make_mut(row);
@@ -57,23 +58,24 @@
         };
     }
 
-    /// Returns the group that an adapter's row names.
+    /// Returns the group set in an adapter's row.
     pub fn group_of(&self, adapter: &Adapter) -> Option<&Group> {
-        match self.plain(adapter, Field::Group) {
+        match self.default_cell(adapter, Field::Group) {
             Some(Value::Group(group)) => Some(group),
             _ => None,
         }
     }
 
-    /// Returns the version that an adapter's row pins.
-    pub fn pinned(&self, adapter: &Adapter) -> Option<&Version> {
-        match self.plain(adapter, Field::Version) {
+    /// Returns the version pinned in an adapter's row.
+    pub fn pinned_version(&self, adapter: &Adapter) -> Option<&Version> {
+        match self.default_cell(adapter, Field::Version) {
             Some(Value::Version(version)) => Some(version),
             _ => None,
         }
     }
 
-    fn plain(&self, adapter: &Adapter, field: Field) -> Option<&Value> {
+    /// Returns an adapter's cell in the column without a selector.
+    fn default_cell(&self, adapter: &Adapter, field: Field) -> Option<&Value> {
         let row = self.rows.get(&Subject::Adapter(adapter.clone()))?;
         row.get(&Column {
             field,
@@ -81,8 +83,8 @@
         })
     }
 
-    /// Lists the adapters whose group has no row, with that group.
-    pub fn orphans(&self) -> impl Iterator<Item = (&Subject, &Group)> {
+    /// Returns the adapters whose group has no row, with that group.
+    pub fn missing_groups(&self) -> impl Iterator<Item = (&Subject, &Group)> {
         self.rows.iter().filter_map(|(subject, row)| {
             let group = row.values().find_map(|value| match value {
                 Value::Group(group) => Some(group),
--- a/crates/ploverwick_table/tests/round_trip.rs
+++ b/crates/ploverwick_table/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! Tables and patches survive writing, reading and applying.
+//! Property tests: writing and parsing a table, and applying a computed patch, round-trip.
 
 use ploverwick_table::parse::{parse, write};
 use ploverwick_table::patch::{apply, diff};
@@ -19,29 +19,29 @@
 
 proptest! {
     #[test]
-    fn written_and_read(csv in csv()) {
-        let table = parse(&csv).expect("made tables are good");
+    fn written_table_parses_to_the_same_table(csv in csv()) {
+        let table = parse(&csv).expect("generated tables are valid");
         let written = write(&table);
         if !table.is_empty() {
-            prop_assert_eq!(parse(&written).expect("written tables are good"), table);
+            prop_assert_eq!(parse(&written).expect("written tables are valid"), table);
         }
     }
 
     #[test]
-    fn diff_applies(before in csv(), after in csv()) {
-        let before = parse(&before).expect("made tables are good");
-        let after = parse(&after).expect("made tables are good");
+    fn applying_the_diff_gives_the_new_table(before in csv(), after in csv()) {
+        let before = parse(&before).expect("generated tables are valid");
+        let after = parse(&after).expect("generated tables are valid");
         let mut patched = before.clone();
-        apply(&mut patched, &diff(&before, &after)).expect("differences apply");
+        apply(&mut patched, &diff(&before, &after)).expect("a computed patch applies");
         prop_assert_eq!(patched, after);
     }
 
     #[test]
-    fn never_panics(text in "(name|weight|\\[|\\]|,|\"|\n|[a-c0-9:. -]){0,60}") {
-        // Whatever it holds, the outcome is a table or findings.
+    fn parser_never_panics(text in "(name|weight|\\[|\\]|,|\"|\n|[a-c0-9:. -]){0,60}") {
+        // Any input gives either a table or at least one diagnostic.
         match parse(&text) {
             Ok(table) => drop(write(&table)),
-            Err(findings) => prop_assert!(!findings.is_empty()),
+            Err(diagnostics) => prop_assert!(!diagnostics.is_empty()),
         }
     }
 }
