--- a/crates/ploverwick_daemon/src/answer.rs
+++ b/crates/ploverwick_daemon/src/answer.rs
@@ -155,7 +155,7 @@
     match part {
         Part::Data(_, last) if last > 0 && last <= after => None,
         Part::Data(bytes, last) if last > 0 && after > 0 => {
-            Some(Part::Data(sse::after(&bytes, after), last))
+            Some(Part::Data(sse::events_after(&bytes, after), last))
         }
         other => Some(other),
     }
--- a/crates/ploverwick_daemon/src/controllers/claims.rs
+++ b/crates/ploverwick_daemon/src/controllers/claims.rs
@@ -9,7 +9,7 @@
 use ploverwick_claims::partition::{Holder, Record};
 use ploverwick_claims::scribe::{Answer, Ask, Config, Outcome, Scribe};
 use ploverwick_names::{Incarnation, Instance, Life, Request};
-use ploverwick_ports::client::Fault;
+use ploverwick_ports::client::CallError;
 use ploverwick_ports::log::Batch;
 use ploverwick_timeline::clock::now_millis;
 use ploverwick_wire::claim_answer::Outcome as WireOutcome;
@@ -188,7 +188,7 @@
                 reply(&mut waiting, apply(&mut scribe, &batch));
             }
             result = appended.recv() => match result {
-                Some((records, Err(fault))) if Fault::had_no_effect(&fault) => {
+                Some((records, Err(fault))) if CallError::had_no_effect(&fault) => {
                     scribe.not_appended(records);
                 }
                 _ => scribe.appended(),
--- a/crates/ploverwick_daemon/src/controllers/members.rs
+++ b/crates/ploverwick_daemon/src/controllers/members.rs
@@ -30,7 +30,7 @@
     let mut tag = None;
     loop {
         ticks.tick().await;
-        let read = match roster.read_changed(tag.as_deref()).await {
+        let read = match roster.read_if_changed(tag.as_deref()).await {
             Ok(read) => read,
             Err(fault) => {
                 outage.failed(&fault);
--- a/crates/ploverwick_daemon/src/owner/orders.rs
+++ b/crates/ploverwick_daemon/src/owner/orders.rs
@@ -4,7 +4,7 @@
 
 use ploverwick_names::Moment;
 use ploverwick_owner::endpoint::{Found, Outcome, Report};
-use ploverwick_ports::client::Fault;
+use ploverwick_ports::client::CallError;
 use ploverwick_ports::engine::{Engine, Order, SlotState};
 
 use crate::budget::LoadLimits;
@@ -55,7 +55,7 @@
     outcome(engine.unload(order).await.err())
 }
 
-fn outcome(fault: Option<Fault>) -> Outcome {
+fn outcome(fault: Option<CallError>) -> Outcome {
     match fault {
         None => Outcome::Done,
         Some(fault) if fault.had_no_effect() => Outcome::Refused,
--- a/crates/ploverwick_daemon/src/owner/send.rs
+++ b/crates/ploverwick_daemon/src/owner/send.rs
@@ -9,7 +9,7 @@
 use ploverwick_codes::attempt::{Attempt, Refusal, Sent, Verdict};
 use ploverwick_codes::{Class, Code};
 use ploverwick_names::{Endpoint, Token};
-use ploverwick_ports::client::{Fault, read_whole};
+use ploverwick_ports::client::{CallError, read_body};
 use ploverwick_ports::engine::{self, Engine};
 use ploverwick_ports::{header, sse};
 use ploverwick_timeline::{Event, Kind};
@@ -78,7 +78,7 @@
 /// Cancels a run and returns once the engine has confirmed that nothing of it runs.
 pub(super) async fn settle(engine: &Engine, request: &str) {
     while let Err(fault) = engine.cancel(request).await {
-        if matches!(fault, Fault::Refused { .. }) {
+        if matches!(fault, CallError::Refused { .. }) {
             return;
         }
         tokio::time::sleep(CANCEL_PAUSE).await;
@@ -119,7 +119,7 @@
     };
     let response = match answered {
         Ok(response) => response,
-        Err(fault @ Fault::Unreachable { .. }) => {
+        Err(fault @ CallError::Unreachable { .. }) => {
             return unsent.refuse(Code::EndpointRefused, fault.to_string());
         }
         Err(fault) => return unsent.send().fail(Code::Interrupted, fault.to_string()),
@@ -161,7 +161,7 @@
     const HINT: Duration = Duration::from_millis(500);
     let not_run = text(&response, header::NOT_RUN) == "true";
     let status = response.status();
-    let body = read_whole(engine.address(), response.into_body()).await;
+    let body = read_body(engine.address(), response.into_body()).await;
     let shown: String = String::from_utf8_lossy(&body.unwrap_or_default())
         .chars()
         .take(200)
@@ -201,7 +201,7 @@
         };
         let part = match &mut splitter {
             Some(splitter) => match splitter.push(&bytes) {
-                Ok(Some(events)) => chunk(events.bytes, events.last),
+                Ok(Some(events)) => chunk(events.bytes, events.last_id),
                 Ok(None) => continue,
                 Err(error) => return Passed::Broken(error.to_string()),
             },
--- a/crates/ploverwick_daemon/src/ownership.rs
+++ b/crates/ploverwick_daemon/src/ownership.rs
@@ -4,7 +4,7 @@
 
 use ploverwick_names::Offset;
 use ploverwick_owner::record::Record;
-use ploverwick_ports::client::Fault;
+use ploverwick_ports::client::CallError;
 
 use crate::node::Node;
 
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// Fails as the log does.
-pub(crate) async fn append(node: &Node, records: Vec<Record>) -> Result<Offset, Fault> {
+pub(crate) async fn append(node: &Node, records: Vec<Record>) -> Result<Offset, CallError> {
     let texts = records
         .iter()
         .map(|record| serde_json::to_string(record).unwrap_or_default());
--- a/crates/ploverwick_daemon/src/service.rs
+++ b/crates/ploverwick_daemon/src/service.rs
@@ -15,7 +15,7 @@
 use ploverwick_codes::{Class, Code};
 use ploverwick_names::{Moment, Request as RequestName};
 use ploverwick_placement::{even, rank};
-use ploverwick_ports::client::Fault;
+use ploverwick_ports::client::CallError;
 use ploverwick_ports::header;
 use ploverwick_ports::roster::EndpointEntry;
 use ploverwick_serve::Reply;
@@ -247,7 +247,7 @@
     let passed = tokio::time::timeout(left, passing).await;
     let verdict = match passed {
         Ok(Ok(())) => unsent.send().finish(),
-        Ok(Err(fault @ Fault::Unreachable { .. })) => {
+        Ok(Err(fault @ CallError::Unreachable { .. })) => {
             unsent.refuse(Code::PeerUnreachable, fault.to_string())
         }
         Ok(Err(fault)) => unsent.send().fail(Code::Interrupted, fault.to_string()),
@@ -274,8 +274,8 @@
     request: Request<Full<Bytes>>,
     sink: &Sink,
     head: &mut bool,
-) -> Result<(), Fault> {
-    let lost = |cause: String| Fault::Lost { address, cause };
+) -> Result<(), CallError> {
+    let lost = |cause: String| CallError::ResponseLost { address, cause };
     let response = node.client.send(address, request).await?;
     let content_type = response.headers().get(http::header::CONTENT_TYPE);
     let first = Head {
--- a/crates/ploverwick_operator/src/fleet.rs
+++ b/crates/ploverwick_operator/src/fleet.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use ploverwick_daemon::status::Status;
 use ploverwick_names::Offset;
-use ploverwick_ports::client::{Client, Fault, read_whole, refused};
+use ploverwick_ports::client::{CallError, Client, read_body, status_error};
 use ploverwick_ports::roster::{Listing, Roster};
 use ploverwick_timeline::Event;
 
@@ -21,7 +21,7 @@
     /// Its name.
     pub name: String,
     /// What went wrong.
-    pub fault: Fault,
+    pub fault: CallError,
 }
 
 /// Answers of a fleet.
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// Fails if the list cannot be read.
-    pub async fn read(roster: SocketAddr) -> Result<Self, Fault> {
+    pub async fn read(roster: SocketAddr) -> Result<Self, CallError> {
         let client = Client::new();
         let listing = Roster::new(client.clone(), roster, TIMEOUT).read().await?;
         Ok(Self { client, listing })
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// Fails if no daemon answers.
-    pub async fn table(&self) -> Result<(Offset, String), Option<Fault>> {
+    pub async fn table(&self) -> Result<(Offset, String), Option<CallError>> {
         let status = self.status().await;
         let newest = status.answers.iter().max_by_key(|status| status.table);
         let Some(newest) = newest else {
@@ -114,15 +114,15 @@
         Ok((newest.table, csv))
     }
 
-    async fn text(&self, address: SocketAddr, path: &str) -> Result<String, Fault> {
+    async fn text(&self, address: SocketAddr, path: &str) -> Result<String, CallError> {
         let request = Request::get(format!("http://{address}{path}"))
             .body(Full::default())
             .expect("the path is a constant");
         let response = self.client.send(address, request).await?;
         let status = response.status();
-        let body = read_whole(address, response.into_body()).await?;
+        let body = read_body(address, response.into_body()).await?;
         if !status.is_success() {
-            return Err(refused(address, status, &body));
+            return Err(status_error(address, status, &body));
         }
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
@@ -151,7 +151,7 @@
     }
 }
 
-fn gather<T>(results: Vec<(String, Result<T, Fault>)>) -> Reading<T> {
+fn gather<T>(results: Vec<(String, Result<T, CallError>)>) -> Reading<T> {
     let mut reading = Reading {
         answers: Vec::new(),
         unread: Vec::new(),
--- a/crates/ploverwick_operator/src/publish.rs
+++ b/crates/ploverwick_operator/src/publish.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ploverwick_names::Offset;
-use ploverwick_ports::client::Fault;
+use ploverwick_ports::client::CallError;
 use ploverwick_ports::log::Log;
 use ploverwick_table::Table;
 use ploverwick_table::history::{NO_VERSION, Patch, Record, Verdict};
@@ -42,10 +42,10 @@
     BaseUnknown(Offset, Offset),
     /// The log took nothing.
     #[error("nothing was published: {0}")]
-    NotAppended(Fault),
+    NotAppended(CallError),
     /// The append's answer was lost, and the stream did not show it in time.
     #[error("the outcome is not known: {0}; look for publication {1} with `table history`")]
-    Unknown(Fault, String),
+    Unknown(CallError, String),
 }
 
 /// Publishes `table`, which was edited from version `base`.
@@ -92,7 +92,7 @@
 }
 
 /// Appends a patch. Returns the fault if the answer was lost, so that it may stand in the log.
-async fn append(log: &Log, patch: Patch) -> Result<Option<Fault>, PublishError> {
+async fn append(log: &Log, patch: Patch) -> Result<Option<CallError>, PublishError> {
     let text = serde_json::to_string(&Record::Patch(patch)).unwrap_or_default();
     let mut tries = 0;
     loop {
@@ -113,7 +113,7 @@
     log: &Log,
     stream: &mut Stream,
     id: &str,
-    lost: Option<Fault>,
+    lost: Option<CallError>,
 ) -> Result<Published, PublishError> {
     let deadline = Instant::now() + PATIENCE;
     let mut fault = lost;
@@ -137,7 +137,7 @@
             None => {}
         }
     }
-    let fault = fault.unwrap_or(Fault::Refused {
+    let fault = fault.unwrap_or(CallError::Refused {
         address: ([127, 0, 0, 1], 0).into(),
         status: 0,
         body: "the stream does not show the publication".to_owned(),
--- a/crates/ploverwick_operator/src/stream.rs
+++ b/crates/ploverwick_operator/src/stream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Offset;
-use ploverwick_ports::client::Fault;
+use ploverwick_ports::client::CallError;
 use ploverwick_ports::log::Log;
 use ploverwick_table::Table;
 use ploverwick_table::history::{History, Record, Verdict};
@@ -17,7 +17,7 @@
 pub enum StreamError {
     /// The log did not answer.
     #[error("cannot read the table's stream")]
-    Log(#[from] Fault),
+    Log(#[from] CallError),
     /// A record is not one that this version knows.
     #[error("record {0} of the table's stream cannot be read: {1}; use a newer ploverwick")]
     Record(Offset, serde_json::Error),
--- a/crates/ploverwick_ports/src/client.rs
+++ b/crates/ploverwick_ports/src/client.rs
@@ -13,50 +13,50 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest answer that is read whole, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+/// The largest response body that is buffered, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Says how a call failed, and what that means for its effect.
+/// The reason why a call failed, which determines whether the call may have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum CallError {
     /// Nothing was sent, so the call had no effect.
     #[error("cannot reach {address}: {cause}")]
     Unreachable {
-        /// Where the call went.
+        /// The address of the service.
         address: SocketAddr,
-        /// What the connection said.
+        /// The connection error.
         cause: String,
     },
-    /// The call was sent and its answer is missing, so its effect is unknown.
-    #[error("no whole answer from {address}: {cause}")]
-    Lost {
-        /// Where the call went.
+    /// The call was sent but no complete response arrived, so whether it took effect is unknown.
+    #[error("no complete response from {address}: {cause}")]
+    ResponseLost {
+        /// The address of the service.
         address: SocketAddr,
-        /// What went wrong.
+        /// The transport, timeout or decoding error.
         cause: String,
     },
-    /// The service answered that it did not do what was asked.
+    /// The service responded that it did not carry out the call.
     #[error("{address} answered {status}: {body}")]
     Refused {
-        /// Where the call went.
+        /// The address of the service.
         address: SocketAddr,
-        /// The HTTP status.
+        /// The HTTP status code.
         status: u16,
-        /// The start of the answer's body.
+        /// The start of the response body.
         body: String,
     },
 }
 
-impl Fault {
-    /// Says whether the call certainly had no effect.
+impl CallError {
+    /// Returns whether the call is known to have had no effect.
     pub fn had_no_effect(&self) -> bool {
-        !matches!(self, Self::Lost { .. })
+        !matches!(self, Self::ResponseLost { .. })
     }
 }
 
-/// A pooled client. Clones share the pool.
+/// An HTTP client with a connection pool. Clones share the pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     pool: legacy::Client<HttpConnector, Full<Bytes>>,
@@ -69,7 +69,7 @@
 }
 
 impl Client {
-    /// Makes a client with a pool of its own.
+    /// Creates a client with its own connection pool.
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -81,30 +81,30 @@
         Self { pool }
     }
 
-    /// Sends a request and returns the head of its answer with the body still to be read.
+    /// Sends a request and returns the response head; the body is still to be read.
     ///
     /// # Errors
-    /// Fails with [`Fault::Unreachable`] if nothing was sent, else with [`Fault::Lost`].
+    /// Fails with [`CallError::Unreachable`] if nothing was sent, else with [`CallError::ResponseLost`].
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Fault> {
+    ) -> Result<Response<Incoming>, CallError> {
         self.pool.request(request).await.map_err(|error| {
-            let cause = describe(&error);
+            let cause = error_chain(&error);
             if error.is_connect() {
-                Fault::Unreachable { address, cause }
+                CallError::Unreachable { address, cause }
             } else {
-                Fault::Lost { address, cause }
+                CallError::ResponseLost { address, cause }
             }
         })
     }
 
-    /// Calls a JSON service and reads its answer.
+    /// Calls a JSON service and decodes the response.
     ///
     /// # Errors
-    /// Fails as [`Client::send`] does, with [`Fault::Lost`] after `timeout`, and with
-    /// [`Fault::Refused`] if the status is not a success.
+    /// Fails as [`Client::send`] does, with [`CallError::ResponseLost`] after `timeout`, and with
+    /// [`CallError::Refused`] if the status is not a success.
     pub async fn call<A: Serialize + Sync, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -112,24 +112,24 @@
         path: &str,
         argument: Option<&A>,
         timeout: Duration,
-    ) -> Result<T, Fault> {
+    ) -> Result<T, CallError> {
         let body = argument.map_or_else(Vec::new, |argument| {
-            serde_json::to_vec(argument).expect("the project's own messages have a JSON form")
+            serde_json::to_vec(argument).expect("message types serialize to JSON")
         });
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
-            .expect("paths are made of constants and names");
-        let answer = tokio::time::timeout(timeout, self.exchange(address, request));
-        let bytes = answer.await.unwrap_or_else(|_| {
+            .expect("paths consist of constants and valid names");
+        let response = tokio::time::timeout(timeout, self.exchange(address, request));
+        let bytes = response.await.unwrap_or_else(|_| {
             let cause = format!("timeout after {} ms", timeout.as_millis());
-            Err(Fault::Lost { address, cause })
+            Err(CallError::ResponseLost { address, cause })
         })?;
-        serde_json::from_slice(&bytes).map_err(|error| Fault::Lost {
+        serde_json::from_slice(&bytes).map_err(|error| CallError::ResponseLost {
             address,
-            cause: format!("the answer cannot be read: {error}"),
+            cause: format!("cannot decode the response: {error}"),
         })
     }
 
@@ -137,40 +137,40 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Bytes, Fault> {
+    ) -> Result<Bytes, CallError> {
         let response = self.send(address, request).await?;
         let status = response.status();
-        let body = read_whole(address, response.into_body()).await?;
+        let body = read_body(address, response.into_body()).await?;
         if status.is_success() {
             return Ok(body);
         }
-        Err(refused(address, status, &body))
+        Err(status_error(address, status, &body))
     }
 
-    /// Reads a JSON document, unless it is still the one with this tag.
+    /// Reads a JSON document if it has changed since the version with the given entity tag.
     ///
     /// # Errors
     /// Fails as [`Client::call`] does.
-    pub async fn read_changed<T: DeserializeOwned>(
+    pub async fn read_if_changed<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
         tag: Option<&str>,
         timeout: Duration,
-    ) -> Result<Option<Tagged<T>>, Fault> {
+    ) -> Result<Option<Tagged<T>>, CallError> {
         let mut request = Request::get(format!("http://{address}{path}"));
         if let Some(tag) = tag {
             request = request.header(http::header::IF_NONE_MATCH, tag);
         }
         let request = request
             .body(Full::default())
-            .expect("paths are made of constants and names");
+            .expect("paths consist of constants and valid names");
         let reading = self.read_tagged(address, request);
         tokio::time::timeout(timeout, reading)
             .await
             .unwrap_or_else(|_| {
                 let cause = format!("timeout after {} ms", timeout.as_millis());
-                Err(Fault::Lost { address, cause })
+                Err(CallError::ResponseLost { address, cause })
             })
     }
 
@@ -178,7 +178,7 @@
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-    ) -> Result<Option<Tagged<T>>, Fault> {
+    ) -> Result<Option<Tagged<T>>, CallError> {
         let response = self.send(address, request).await?;
         let status = response.status();
         if status == StatusCode::NOT_MODIFIED {
@@ -186,54 +186,54 @@
         }
         let tag = response.headers().get(http::header::ETAG);
         let tag = tag.and_then(|tag| tag.to_str().ok()).map(ToOwned::to_owned);
-        let body = read_whole(address, response.into_body()).await?;
+        let body = read_body(address, response.into_body()).await?;
         if !status.is_success() {
-            return Err(refused(address, status, &body));
+            return Err(status_error(address, status, &body));
         }
-        let value = serde_json::from_slice(&body).map_err(|error| Fault::Lost {
+        let value = serde_json::from_slice(&body).map_err(|error| CallError::ResponseLost {
             address,
-            cause: format!("the answer cannot be read: {error}"),
+            cause: format!("cannot decode the response: {error}"),
         })?;
         Ok(Some(Tagged { value, tag }))
     }
 }
 
-/// A document and the tag by which its next reading is spared if it has not changed.
+/// A document and its entity tag, which a later conditional read sends as `If-None-Match`.
 #[derive(Debug, Clone)]
 pub struct Tagged<T> {
     /// The document.
     pub value: T,
-    /// Its tag, if the service gives one.
+    /// The entity tag, if the service sent one.
     pub tag: Option<String>,
 }
 
-/// Reads an answer's whole body.
+/// Reads a complete response body.
 ///
 /// # Errors
-/// Fails with [`Fault::Lost`] if the body breaks off or is too large.
-pub async fn read_whole(address: SocketAddr, body: Incoming) -> Result<Bytes, Fault> {
-    let collected = Limited::new(body, MAX_ANSWER).collect().await;
+/// Fails with [`CallError::ResponseLost`] if the body is truncated or too large.
+pub async fn read_body(address: SocketAddr, body: Incoming) -> Result<Bytes, CallError> {
+    let collected = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     collected
         .map(http_body_util::Collected::to_bytes)
-        .map_err(|error| Fault::Lost {
+        .map_err(|error| CallError::ResponseLost {
             address,
             cause: error.to_string(),
         })
 }
 
-/// Makes a fault of an answer that is not a success.
-pub fn refused(address: SocketAddr, status: StatusCode, body: &Bytes) -> Fault {
-    const SHOWN: usize = 300;
+/// Creates the error for a response with a status other than success.
+pub fn status_error(address: SocketAddr, status: StatusCode, body: &Bytes) -> CallError {
+    const MAX_BODY_CHARS: usize = 300;
     let text = String::from_utf8_lossy(body);
-    Fault::Refused {
+    CallError::Refused {
         address,
         status: status.as_u16(),
-        body: text.chars().take(SHOWN).collect(),
+        body: text.chars().take(MAX_BODY_CHARS).collect(),
     }
 }
 
-/// Names an error together with its causes.
-fn describe(error: &dyn std::error::Error) -> String {
+/// Formats an error together with its chain of sources.
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/ploverwick_ports/src/engine.rs
+++ b/crates/ploverwick_ports/src/engine.rs
@@ -1,7 +1,7 @@
-//! Model engines.
+//! Client of model engines.
 //!
-//! Dialect: `GET /report` gives a [`Report`]; `POST /orders/load`, `/orders/unload` and
-//! `/orders/fence` take an [`Order`]; `POST /v1/..` runs a request; `POST /cancel` stops one.
+//! Protocol: `GET /report` returns a [`Report`]; `POST /orders/load`, `/orders/unload` and
+//! `/orders/fence` take an [`Order`]; `POST /v1/..` runs a request; `POST /cancel` cancels one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,59 +13,59 @@
 use ploverwick_names::{Incarnation, Token, Variant};
 use serde::{Deserialize, Serialize};
 
-use crate::client::{Client, Fault};
+use crate::client::{CallError, Client};
 use crate::header;
 
 /// The state of an adapter slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SlotState {
-    /// The weights are on their way.
+    /// The adapter's weights are being loaded.
     Loading,
-    /// Requests can run.
+    /// The adapter is ready to run requests.
     Loaded,
 }
 
-/// An adapter slot in use.
+/// An occupied adapter slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slot {
-    /// What the slot holds.
+    /// The adapter and version in the slot.
     pub variant: Variant,
-    /// Whether it is ready.
+    /// The load state.
     pub state: SlotState,
-    /// The number of requests running on it.
+    /// The number of requests running on this adapter.
     pub running: u32,
 }
 
-/// What an engine says of itself. It lags behind reality.
+/// The state that an engine reports about itself. It may be stale.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Tells two lives of the engine apart.
+    /// The engine's incarnation, which changes with every restart.
     pub incarnation: Incarnation,
     /// The number of adapter slots.
     pub slots: u32,
-    /// The most requests that one step computes.
+    /// The maximum batch size: the number of requests computed per step.
     pub batch: u32,
-    /// The number of requests running.
+    /// The number of running requests.
     pub running: u32,
-    /// The slots in use.
+    /// The occupied slots.
     pub used: Vec<Slot>,
-    /// Whether the engine is about to go.
+    /// Whether the engine is about to shut down.
     pub leaving: bool,
 }
 
 /// An order to an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Order {
-    /// The adapter; none for an order that only shows the token.
+    /// The adapter; `None` for an order that only presents the token.
     pub variant: Option<Variant>,
     /// The owner's fencing token.
     pub token: Token,
 }
 
-/// An engine's answer to an order that it followed.
+/// An engine's response to an order that it carried out.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Followed {
+pub struct OrderAck {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
 }
@@ -73,11 +73,11 @@
 /// A request to cancel a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Cancel {
-    /// The request.
+    /// The identifier of the request.
     pub request: String,
 }
 
-/// A request on its way to an engine.
+/// A request to run on an engine.
 #[derive(Debug, Clone)]
 pub struct Run {
     /// The path, such as `/v1/completions`.
@@ -86,15 +86,15 @@
     pub request: String,
     /// The resolved model.
     pub model: String,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
     /// The priority, 0 to 9.
     pub priority: u32,
-    /// The last event that the caller has; 0 for none.
+    /// The number of the last event that the caller has received; 0 for none.
     pub resume_after: u64,
     /// The owner's fencing token.
     pub token: Token,
-    /// The sender's hybrid logical clock.
+    /// The sender's hybrid logical clock timestamp.
     pub stamp: u64,
 }
 
@@ -107,7 +107,8 @@
 }
 
 impl Engine {
-    /// Makes a client of the engine at `address`; `timeout` bounds short calls.
+    /// Creates a client of the engine at `address`. `timeout` applies to all calls except loads and
+    /// runs.
     pub fn new(client: Client, address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
@@ -121,37 +122,37 @@
         self.address
     }
 
-    /// Asks for the engine's report.
+    /// Fetches the engine's report.
     ///
     /// # Errors
-    /// Fails if the engine cannot be reached or does not answer in time.
-    pub async fn report(&self) -> Result<Report, Fault> {
+    /// Fails if the engine cannot be reached or does not respond in time.
+    pub async fn report(&self) -> Result<Report, CallError> {
         self.client
             .call::<(), _>(Method::GET, self.address, "/report", None, self.timeout)
             .await
     }
 
-    /// Orders an adapter to be loaded and waits up to `patience` until it is.
+    /// Orders an adapter to be loaded and waits up to `timeout` for it to finish.
     ///
     /// # Errors
-    /// After [`Fault::Lost`] the adapter may be loaded: ask for a report.
-    pub async fn load(&self, order: &Order, patience: Duration) -> Result<Followed, Fault> {
-        self.order("/orders/load", order, patience).await
+    /// After [`CallError::ResponseLost`] the adapter may or may not be loaded; fetch a report to find out.
+    pub async fn load(&self, order: &Order, timeout: Duration) -> Result<OrderAck, CallError> {
+        self.order("/orders/load", order, timeout).await
     }
 
     /// Orders an adapter to be unloaded.
     ///
     /// # Errors
-    /// After [`Fault::Lost`] the adapter may be unloaded, now or later.
-    pub async fn unload(&self, order: &Order) -> Result<Followed, Fault> {
+    /// After [`CallError::ResponseLost`] the order may still take effect, now or later.
+    pub async fn unload(&self, order: &Order) -> Result<OrderAck, CallError> {
         self.order("/orders/unload", order, self.timeout).await
     }
 
-    /// Shows the engine a token, so that it refuses older ones from now on.
+    /// Presents a fencing token to the engine, which then refuses orders with older tokens.
     ///
     /// # Errors
-    /// Fails with [`Fault::Refused`] if the engine has seen a newer token.
-    pub async fn fence(&self, token: Token) -> Result<Followed, Fault> {
+    /// Fails with [`CallError::Refused`] if the engine has seen a newer token.
+    pub async fn fence(&self, token: Token) -> Result<OrderAck, CallError> {
         let order = Order {
             variant: None,
             token,
@@ -159,7 +160,12 @@
         self.order("/orders/fence", &order, self.timeout).await
     }
 
-    async fn order(&self, path: &str, order: &Order, timeout: Duration) -> Result<Followed, Fault> {
+    async fn order(
+        &self,
+        path: &str,
+        order: &Order,
+        timeout: Duration,
+    ) -> Result<OrderAck, CallError> {
         self.client
             .call(Method::POST, self.address, path, Some(order), timeout)
             .await
@@ -168,8 +174,8 @@
     /// Cancels a run.
     ///
     /// # Errors
-    /// Fails if the engine cannot be reached or does not answer in time.
-    pub async fn cancel(&self, request: &str) -> Result<(), Fault> {
+    /// Fails if the engine cannot be reached or does not respond in time.
+    pub async fn cancel(&self, request: &str) -> Result<(), CallError> {
         let cancel = Cancel {
             request: request.to_owned(),
         };
@@ -184,11 +190,11 @@
             .await
     }
 
-    /// Runs a request and returns the head of the answer.
+    /// Runs a request and returns the response head; the body is still to be read.
     ///
     /// # Errors
     /// Fails as [`Client::send`] does.
-    pub async fn run(&self, run: &Run) -> Result<Response<Incoming>, Fault> {
+    pub async fn run(&self, run: &Run) -> Result<Response<Incoming>, CallError> {
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{}{}", self.address, run.path))
@@ -200,7 +206,7 @@
             .header(header::STAMP, run.stamp)
             .header(header::LAST_EVENT_ID, run.resume_after)
             .body(Full::new(run.body.clone()))
-            .map_err(|error| Fault::Unreachable {
+            .map_err(|error| CallError::Unreachable {
                 address: self.address,
                 cause: error.to_string(),
             })?;
--- a/crates/ploverwick_ports/src/lib.rs
+++ b/crates/ploverwick_ports/src/lib.rs
@@ -1,7 +1,8 @@
 //! Clients of the platform's services and of endpoints.
 //!
-//! The real wire formats are not known yet. Each outside system is met in one file that holds its
-//! whole dialect, so that another dialect is another file.
+//! The production wire formats are not known yet. Each external system is therefore accessed through
+//! a single module that contains its entire protocol, so that supporting another protocol means
+//! replacing one file.
 
 pub mod client;
 pub mod engine;
--- a/crates/ploverwick_ports/src/log.rs
+++ b/crates/ploverwick_ports/src/log.rs
@@ -1,7 +1,7 @@
-//! The platform's append-only log.
+//! Client of the platform's append-only log.
 //!
-//! Dialect: `POST /streams/S/append` with `{"records": [..]}` gives `{"first": offset}`;
-//! `GET /streams/S/read?from=F&wait_ms=W` gives a [`Batch`]. Offsets start at 1.
+//! Protocol: `POST /streams/S/append` with `{"records": [..]}` returns `{"first": offset}`;
+//! `GET /streams/S/read?from=F&wait_ms=W` returns a [`Batch`]. Offsets start at 1.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,46 +10,46 @@
 use ploverwick_names::Offset;
 use serde::{Deserialize, Serialize};
 
-use crate::client::{Client, Fault};
+use crate::client::{CallError, Client};
 
-/// Records to append, in order and without another record between them.
+/// Records to append atomically: in order, with no other record between them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Append {
-    /// The records' texts.
+    /// The text of each record.
     pub records: Vec<String>,
 }
 
-/// Where an append went.
+/// The result of an append.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Appended {
-    /// The offset of the first record.
+    /// The offset of the first appended record.
     pub first: Offset,
 }
 
-/// A record as the log holds it.
+/// A stored record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place in the stream.
+    /// The offset in the stream.
     pub offset: Offset,
-    /// When it was appended, in milliseconds since the Unix epoch.
+    /// The time of the append, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Its text.
+    /// The text of the record.
     pub text: String,
 }
 
-/// What a read gives.
+/// The result of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The oldest offset that the log still holds, or the next one if it holds none.
+    /// The oldest retained offset, or `next` if no record is retained.
     pub start: Offset,
-    /// The offset that the next append will get.
+    /// The offset of the next append.
     pub next: Offset,
-    /// The records from the offset asked for on.
+    /// The records starting at the requested offset.
     pub records: Vec<Record>,
 }
 
 impl Batch {
-    /// Says whether the batch reaches the end of the stream as it was when it was read.
+    /// Returns whether the batch reached the end of the stream at the time of the read.
     pub fn reaches_end(&self) -> bool {
         match self.records.last() {
             Some(last) => last.offset.0 + 1 == self.next.0,
@@ -67,7 +67,7 @@
 }
 
 impl Log {
-    /// Makes a client of the log at `address`.
+    /// Creates a client of the log at `address`.
     pub fn new(client: Client, address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
@@ -79,8 +79,8 @@
     /// Appends records to a stream and returns the offset of the first.
     ///
     /// # Errors
-    /// After [`Fault::Lost`] the records may or may not be in the stream: read it to find out.
-    pub async fn append(&self, stream: &str, records: Vec<String>) -> Result<Offset, Fault> {
+    /// After [`CallError::ResponseLost`] the records may or may not be in the stream; read it to find out.
+    pub async fn append(&self, stream: &str, records: Vec<String>) -> Result<Offset, CallError> {
         let path = format!("/streams/{stream}/append");
         let argument = Append { records };
         let appended: Appended = self
@@ -96,11 +96,16 @@
         Ok(appended.first)
     }
 
-    /// Reads a stream from an offset on, waiting up to `wait` if there is nothing yet.
+    /// Reads a stream starting at `from`, waiting up to `wait` if there are no records yet.
     ///
     /// # Errors
-    /// Fails if the log cannot be reached or does not answer in time.
-    pub async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Batch, Fault> {
+    /// Fails if the log cannot be reached or does not respond in time.
+    pub async fn read(
+        &self,
+        stream: &str,
+        from: Offset,
+        wait: Duration,
+    ) -> Result<Batch, CallError> {
         let wait_ms = wait.as_millis();
         let path = format!("/streams/{stream}/read?from={from}&wait_ms={wait_ms}");
         let timeout = self.timeout + wait;
--- a/crates/ploverwick_ports/src/roster.rs
+++ b/crates/ploverwick_ports/src/roster.rs
@@ -1,8 +1,9 @@
-//! The platform's list of live and leaving instances. It lags behind reality.
+//! Client of the roster, the platform's list of live and leaving instances and endpoints. The list
+//! may be stale.
 //!
-//! Dialect: `GET /roster` gives a [`Listing`] with an `ETag`; with `If-None-Match` it gives 304 if
-//! the list has not changed. At 330 instances and 870 endpoints the whole list is a quarter of a
-//! megabyte, so reading it each time would cost many times the budget for control traffic.
+//! Protocol: `GET /roster` returns a [`Listing`] with an `ETag`; with `If-None-Match` it returns 304
+//! if the list has not changed. At 330 instances and 870 endpoints the full list is a quarter of a
+//! megabyte, so fetching it on every poll would exceed the control traffic budget many times over.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,15 +12,15 @@
 use ploverwick_names::{Domain, Endpoint, Instance};
 use serde::{Deserialize, Serialize};
 
-use crate::client::{Client, Fault, Tagged};
+use crate::client::{CallError, Client, Tagged};
 
-/// Whether something listed stays.
+/// The lifecycle state of a listed instance or endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It stays.
+    /// In service.
     Live,
-    /// It is about to go and takes no new work.
+    /// Draining: about to shut down and accepting no new work.
     Leaving,
 }
 
@@ -29,74 +30,74 @@
 pub enum Serves {
     /// Adapters of this base model.
     Model(String),
-    /// A plain service of this name.
+    /// A service without models, with this name.
     Service(String),
 }
 
-/// Whether an endpoint refuses an order with an old fencing token.
+/// Whether an endpoint enforces fencing tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// It refuses such an order.
+    /// Orders with an old token are refused.
     Checked,
-    /// It follows any order.
+    /// Orders are carried out whatever their token.
     Ignored,
 }
 
-/// An entry instance, as listed.
+/// The roster entry of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceEntry {
-    /// Its name.
+    /// The name.
     pub name: Instance,
-    /// Whether it stays.
+    /// The lifecycle state.
     pub state: State,
-    /// Its failure domain.
+    /// The failure domain.
     pub failure_domain: Domain,
-    /// Where other daemons reach it.
+    /// The address for traffic from other daemons.
     pub peers: SocketAddr,
-    /// Where operators reach it.
+    /// The address of the admin interface for operators.
     pub admin: SocketAddr,
 }
 
-/// An endpoint, as listed.
+/// The roster entry of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its name.
+    /// The name.
     pub name: Endpoint,
-    /// Whether it stays.
+    /// The lifecycle state.
     pub state: State,
-    /// Its failure domain.
+    /// The failure domain.
     pub failure_domain: Domain,
-    /// Where it takes requests and orders.
+    /// The address for requests and orders.
     pub address: SocketAddr,
-    /// What it serves.
+    /// The model or service that the endpoint serves.
     pub serves: Serves,
-    /// Whether it checks fencing tokens.
+    /// Whether the endpoint enforces fencing tokens.
     pub fencing: Fencing,
 }
 
-/// The whole list.
+/// The full list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The entry instances.
+    /// The instances.
     pub instances: Vec<InstanceEntry>,
     /// The endpoints.
     pub endpoints: Vec<EndpointEntry>,
 }
 
 impl Listing {
-    /// Finds an endpoint.
+    /// Returns the entry of an endpoint.
     pub fn endpoint(&self, name: &Endpoint) -> Option<&EndpointEntry> {
         self.endpoints.iter().find(|entry| &entry.name == name)
     }
 
-    /// Finds an entry instance.
+    /// Returns the entry of an instance.
     pub fn instance(&self, name: &Instance) -> Option<&InstanceEntry> {
         self.instances.iter().find(|entry| &entry.name == name)
     }
 }
 
-/// A client of the list.
+/// A client of the roster.
 #[derive(Debug, Clone)]
 pub struct Roster {
     client: Client,
@@ -105,7 +106,7 @@
 }
 
 impl Roster {
-    /// Makes a client of the list at `address`.
+    /// Creates a client of the roster at `address`.
     pub fn new(client: Client, address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
@@ -114,23 +115,26 @@
         }
     }
 
-    /// Reads the list.
+    /// Reads the full list.
     ///
     /// # Errors
-    /// Fails if the service cannot be reached or does not answer in time.
-    pub async fn read(&self) -> Result<Listing, Fault> {
+    /// Fails if the service cannot be reached or does not respond in time.
+    pub async fn read(&self) -> Result<Listing, CallError> {
         self.client
             .call::<(), _>(Method::GET, self.address, "/roster", None, self.timeout)
             .await
     }
 
-    /// Reads the list, unless it is still the one with this tag.
+    /// Reads the list if it has changed since the version with the given entity tag.
     ///
     /// # Errors
-    /// Fails if the service cannot be reached or does not answer in time.
-    pub async fn read_changed(&self, tag: Option<&str>) -> Result<Option<Tagged<Listing>>, Fault> {
+    /// Fails if the service cannot be reached or does not respond in time.
+    pub async fn read_if_changed(
+        &self,
+        tag: Option<&str>,
+    ) -> Result<Option<Tagged<Listing>>, CallError> {
         self.client
-            .read_changed(self.address, "/roster", tag, self.timeout)
+            .read_if_changed(self.address, "/roster", tag, self.timeout)
             .await
     }
 }
--- a/crates/ploverwick_ports/tests/split_events.rs
+++ b/crates/ploverwick_ports/tests/split_events.rs
@@ -1,8 +1,8 @@
-//! Streams are split into whole events, wherever their bytes are cut.
+//! Event streams are split into complete events, wherever the byte stream is cut into chunks.
 
 use bytes::Bytes;
 use googletest::prelude::*;
-use ploverwick_ports::sse::{Splitter, after};
+use ploverwick_ports::sse::{Splitter, events_after};
 use proptest::prelude::*;
 
 fn events(count: usize) -> String {
@@ -11,16 +11,16 @@
 }
 
 #[gtest]
-fn skips_events() {
+fn returns_events_after_a_number() {
     let all = Bytes::from(events(5));
-    expect_that!(after(&all, 0), eq(&all));
-    expect_that!(after(&all, 5).len(), eq(0));
-    let rest = after(&all, 3);
+    expect_that!(events_after(&all, 0), eq(&all));
+    expect_that!(events_after(&all, 5).len(), eq(0));
+    let rest = events_after(&all, 3);
     expect_that!(rest.starts_with(b"id: 4\n"), eq(true));
 }
 
 #[gtest]
-fn too_large() {
+fn refuses_an_oversized_event() {
     let mut splitter = Splitter::default();
     let piece = vec![b'x'; 1 << 19];
     expect_that!(splitter.push(&piece), ok(none()));
@@ -30,7 +30,7 @@
 
 proptest! {
     #[test]
-    fn any_cuts(count in 0_usize..12, cuts in proptest::collection::vec(1_usize..40, 1..60)) {
+    fn splits_any_chunks_into_whole_events(count in 0_usize..12, cuts in proptest::collection::vec(1_usize..40, 1..60)) {
         let whole = events(count);
         let mut splitter = Splitter::default();
         let (mut joined, mut last, mut at) = (Vec::new(), 0, 0);
@@ -39,10 +39,10 @@
                 break;
             }
             let end = whole.len().min(at + cut);
-            if let Some(found) = splitter.push(&whole.as_bytes()[at..end]).expect("it is small") {
+            if let Some(found) = splitter.push(&whole.as_bytes()[at..end]).expect("events are below the limit") {
                 prop_assert!(found.bytes.ends_with(b"\n\n"));
                 joined.extend_from_slice(&found.bytes);
-                last = found.last;
+                last = found.last_id;
             }
             at = end;
         }
@@ -55,6 +55,6 @@
     fn never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300), number in any::<u64>()) {
         let mut splitter = Splitter::default();
         drop(splitter.push(&bytes));
-        drop(after(&Bytes::from(bytes), number));
+        drop(events_after(&Bytes::from(bytes), number));
     }
 }
--- a/crates/ploverwick_standin/src/engine/http.rs
+++ b/crates/ploverwick_standin/src/engine/http.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Method, Request, StatusCode};
 use hyper::body::Incoming;
 use ploverwick_names::{Model, Token, Variant};
-use ploverwick_ports::engine::{Cancel, Followed, Order};
+use ploverwick_ports::engine::{Cancel, Order, OrderAck};
 use ploverwick_ports::header;
 use ploverwick_serve::{Handler, Reply, json, stream, text};
 use ploverwick_timeline::clock::Stamp;
@@ -93,7 +93,7 @@
             return Err(io::Error::other("the answer is lost"));
         }
         let incarnation = lock(&self.core).incarnation();
-        Ok(json(StatusCode::OK, &Followed { incarnation }))
+        Ok(json(StatusCode::OK, &OrderAck { incarnation }))
     }
 
     async fn delay_order(&self) {
--- a/crates/ploverwick_standin/tests/engine_model.rs
+++ b/crates/ploverwick_standin/tests/engine_model.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use http::Method;
 use ploverwick_names::{Adapter, Token, Variant, Version};
-use ploverwick_ports::client::{Client, Fault};
+use ploverwick_ports::client::{CallError, Client};
 use ploverwick_ports::engine::{Engine, Order, Run};
 use ploverwick_standin::engine::{CacheEvent, Config, start};
 
@@ -48,7 +48,7 @@
     engine.fence(Token(7)).await.expect("it follows");
     let refused = engine.load(&order("a", 6), PATIENCE).await;
     assert_that!(
-        matches!(refused, Err(Fault::Refused { status: 409, .. })),
+        matches!(refused, Err(CallError::Refused { status: 409, .. })),
         eq(true)
     );
     engine
@@ -69,7 +69,7 @@
         .await
         .expect("it follows");
     let full = engine.load(&order("b", 1), PATIENCE).await;
-    assert_that!(matches!(full, Err(Fault::Refused { .. })), eq(true));
+    assert_that!(matches!(full, Err(CallError::Refused { .. })), eq(true));
     engine.unload(&order("a", 1)).await.expect("it follows");
     engine
         .load(&order("b", 1), PATIENCE)
