--- a/crates/ploverwick/src/commands/publish.rs
+++ b/crates/ploverwick/src/commands/publish.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Offset;
-use ploverwick_operator::{Published, publish};
+use ploverwick_operator::{PublishOutcome, publish};
 use ploverwick_table::history::Verdict;
 
 use super::table;
@@ -25,15 +25,15 @@
     let user = || std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned());
     let author = flags.author.unwrap_or_else(user);
     let version = match publish(&log, Offset(flags.base), &edited, &author).await? {
-        Published::Accepted(version) => version,
-        Published::Unchanged => {
+        PublishOutcome::Accepted(version) => version,
+        PublishOutcome::Unchanged => {
             output::print(&format!(
                 "unchanged: the file equals version {}\n",
                 flags.base
             ));
             return Ok(true);
         }
-        Published::Refused(verdict) => {
+        PublishOutcome::Refused(verdict) => {
             eprintln!("refused: {}", explain(&verdict));
             return Ok(false);
         }
--- a/crates/ploverwick/src/commands/status.rs
+++ b/crates/ploverwick/src/commands/status.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use ploverwick_daemon::status::{OwnedEndpoint, Status as DaemonStatus};
-use ploverwick_operator::{Reading, Unread};
+use ploverwick_operator::{Failure, Responses};
 use serde::Serialize;
 
 use crate::flags::Status;
@@ -24,30 +24,30 @@
         let shown = Shown {
             daemons: &reading.answers,
             silent: reading
-                .unread
+                .failures
                 .iter()
-                .map(|unread| unread.name.clone())
+                .map(|failure| failure.name.clone())
                 .collect(),
         };
         output::print(&format!("{}\n", serde_json::to_string(&shown)?));
     } else {
         output::print(&text(&reading));
     }
-    Ok(reading.unread.is_empty() && !reading.answers.is_empty())
+    Ok(reading.failures.is_empty() && !reading.answers.is_empty())
 }
 
-fn text(reading: &Reading<DaemonStatus>) -> String {
+fn text(reading: &Responses<DaemonStatus>) -> String {
     let mut text = output::columns(&instances(reading));
     text.push('\n');
     text.push_str(&output::columns(&endpoints(reading)));
-    for Unread { name, fault } in &reading.unread {
+    for Failure { name, error } in &reading.failures {
         let word = output::verdict(false, "silent");
-        let _ = writeln!(text, "{word}: {name}: {fault}");
+        let _ = writeln!(text, "{word}: {name}: {error}");
     }
     text
 }
 
-fn instances(reading: &Reading<DaemonStatus>) -> Vec<Vec<String>> {
+fn instances(reading: &Responses<DaemonStatus>) -> Vec<Vec<String>> {
     let header = [
         "instance",
         "failure domain",
@@ -81,7 +81,7 @@
     rows
 }
 
-fn endpoints(reading: &Reading<DaemonStatus>) -> Vec<Vec<String>> {
+fn endpoints(reading: &Responses<DaemonStatus>) -> Vec<Vec<String>> {
     let header = [
         "endpoint", "owner", "token", "waiting", "running", "batch", "slots",
     ];
--- a/crates/ploverwick/src/commands/timeline.rs
+++ b/crates/ploverwick/src/commands/timeline.rs
@@ -10,8 +10,8 @@
 pub(crate) async fn run(flags: Timeline) -> Answer {
     let fleet = place::fleet(flags.roster, flags.settings.as_ref()).await?;
     let reading = fleet.timelines(&flags.from).await;
-    for unread in &reading.unread {
-        eprintln!("silent: {}: {}", unread.name, unread.fault);
+    for failure in &reading.failures {
+        eprintln!("silent: {}: {}", failure.name, failure.error);
     }
     let filter = Filter {
         request: flags.request,
@@ -30,5 +30,5 @@
     } else {
         output::print(&text(&events));
     }
-    Ok(reading.unread.is_empty())
+    Ok(reading.failures.is_empty())
 }
--- a/crates/ploverwick_demo/src/run.rs
+++ b/crates/ploverwick_demo/src/run.rs
@@ -10,7 +10,7 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use ploverwick_names::Offset;
-use ploverwick_operator::{Published, publish};
+use ploverwick_operator::{PublishOutcome, publish};
 use ploverwick_ports::client::Client;
 use ploverwick_serve::{Bounds, Handler, Reply, Server, Stopper, bytes, stop};
 use ploverwick_table::{Table, parse};
@@ -85,7 +85,7 @@
 /// Fails if the table is not accepted.
 pub async fn publish_table(fleet: &Fleet, base: Offset, table: &Table) -> Result<Offset> {
     match publish(&fleet.log(), base, table, "demo").await? {
-        Published::Accepted(version) => Ok(version),
+        PublishOutcome::Accepted(version) => Ok(version),
         other => bail!("the table was not accepted: {other:?}"),
     }
 }
--- a/crates/ploverwick_demo/tests/table_change.rs
+++ b/crates/ploverwick_demo/tests/table_change.rs
@@ -10,7 +10,7 @@
 use ploverwick_codes::Code;
 use ploverwick_demo::run::{publish_table, table};
 use ploverwick_names::Offset;
-use ploverwick_operator::{Fleet as Reader, Published, publish};
+use ploverwick_operator::{Fleet as Reader, PublishOutcome, publish};
 use ploverwick_standin::log::Faults;
 use ploverwick_table::history::Verdict;
 use ploverwick_table::parse::parse;
@@ -35,11 +35,11 @@
     let refused = publish(&log, first, &same_row, "cem")
         .await
         .expect("it is published");
-    assert_that!(matches!(accepted, Published::Accepted(_)), eq(true));
-    let Published::Accepted(version) = merged else {
+    assert_that!(matches!(accepted, PublishOutcome::Accepted(_)), eq(true));
+    let PublishOutcome::Accepted(version) = merged else {
         panic!("rows that do not clash are merged: {merged:?}");
     };
-    let Published::Refused(Verdict::Clash(rows)) = refused else {
+    let PublishOutcome::Refused(Verdict::Clash(rows)) = refused else {
         panic!("rows that clash are refused: {refused:?}");
     };
     let rows: Vec<String> = rows.iter().map(|row| row.subject.to_string()).collect();
@@ -67,7 +67,7 @@
     let changed = table(2).expect("the table is good");
     let published = publish(&fleet.log(), Offset(1), &changed, "ana").await;
     assert_that!(
-        matches!(published, Ok(Published::Accepted(Offset(2)))),
+        matches!(published, Ok(PublishOutcome::Accepted(Offset(2)))),
         eq(true)
     );
 }
--- a/crates/ploverwick_operator/src/fleet.rs
+++ b/crates/ploverwick_operator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Asks every daemon, and every endpoint, of a fleet.
+//! Queries the daemons and endpoints of a fleet.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,28 +12,28 @@
 use ploverwick_ports::roster::{Listing, Roster};
 use ploverwick_timeline::Event;
 
-const TIMEOUT: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Something that was asked and did not answer.
+/// A failed query of a process.
 #[derive(Debug, Clone)]
-pub struct Unread {
-    /// Its name.
+pub struct Failure {
+    /// The name, or the address, of the process.
     pub name: String,
-    /// What went wrong.
-    pub fault: CallError,
+    /// The error.
+    pub error: CallError,
 }
 
-/// Answers of a fleet.
+/// The results of querying the processes of a fleet.
 #[derive(Debug, Clone)]
-pub struct Reading<T> {
-    /// What answered.
+pub struct Responses<T> {
+    /// The successful responses.
     pub answers: Vec<T>,
-    /// What did not.
-    pub unread: Vec<Unread>,
+    /// The failed queries.
+    pub failures: Vec<Failure>,
 }
 
-/// A fleet, as the platform lists it.
+/// A fleet, as listed by the platform's roster.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     client: Client,
@@ -41,37 +41,44 @@
 }
 
 impl Fleet {
-    /// Reads the platform's list.
+    /// Reads the roster.
     ///
     /// # Errors
-    /// Fails if the list cannot be read.
+    /// Fails if the roster cannot be read.
     pub async fn read(roster: SocketAddr) -> Result<Self, CallError> {
         let client = Client::new();
-        let listing = Roster::new(client.clone(), roster, TIMEOUT).read().await?;
+        let listing = Roster::new(client.clone(), roster, CALL_TIMEOUT)
+            .read()
+            .await?;
         Ok(Self { client, listing })
     }
 
-    /// Returns the list.
+    /// Returns the roster's listing.
     pub fn listing(&self) -> &Listing {
         &self.listing
     }
 
-    /// Asks every daemon for its status.
-    pub async fn status(&self) -> Reading<Status> {
-        let asked = self.listing.instances.iter().map(|entry| async {
-            let call =
-                self.client
-                    .call::<(), Status>(Method::GET, entry.admin, "/status", None, TIMEOUT);
+    /// Fetches the status of every daemon.
+    pub async fn status(&self) -> Responses<Status> {
+        let queries = self.listing.instances.iter().map(|entry| async {
+            let call = self.client.call::<(), Status>(
+                Method::GET,
+                entry.admin,
+                "/status",
+                None,
+                CALL_TIMEOUT,
+            );
             (entry.name.to_string(), call.await)
         });
-        gather(join_all(asked).await)
+        gather(join_all(queries).await)
     }
 
-    /// Asks every daemon, every endpoint and the further addresses for their time lines.
-    pub async fn timelines(&self, further: &[SocketAddr]) -> Reading<Vec<Event>> {
+    /// Fetches the timelines of every daemon, every endpoint and the processes at `further`
+    /// addresses.
+    pub async fn timelines(&self, further: &[SocketAddr]) -> Responses<Vec<Event>> {
         let daemons = self.listing.instances.iter();
         let endpoints = self.listing.endpoints.iter();
-        let places = daemons
+        let targets = daemons
             .map(|entry| (entry.name.to_string(), entry.admin))
             .chain(endpoints.map(|entry| (entry.name.to_string(), entry.address)))
             .chain(
@@ -79,28 +86,32 @@
                     .iter()
                     .map(|address| (address.to_string(), *address)),
             );
-        let asked = places.map(|(name, address)| async move {
+        let queries = targets.map(|(name, address)| async move {
             let call = self.client.call::<(), Vec<Event>>(
                 Method::GET,
                 address,
                 "/timeline",
                 None,
-                TIMEOUT,
+                CALL_TIMEOUT,
             );
             (name, call.await)
         });
-        gather(join_all(asked).await)
+        gather(join_all(queries).await)
     }
 
-    /// Returns the table in force, as CSV, of the daemon with the newest version.
+    /// Returns the newest table version in force on any daemon, and that table as CSV.
     ///
     /// # Errors
-    /// Fails if no daemon answers.
+    /// Fails if no daemon responds or the table cannot be fetched.
     pub async fn table(&self) -> Result<(Offset, String), Option<CallError>> {
         let status = self.status().await;
         let newest = status.answers.iter().max_by_key(|status| status.table);
         let Some(newest) = newest else {
-            return Err(status.unread.into_iter().next().map(|unread| unread.fault));
+            return Err(status
+                .failures
+                .into_iter()
+                .next()
+                .map(|failure| failure.error));
         };
         let entry = self
             .listing
@@ -127,40 +138,40 @@
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Waits until every daemon has at least this version in force. Returns how many have, of how
-    /// many, and how long it took.
+    /// Waits until every daemon has at least this version in force, or until `timeout` has passed.
+    /// Returns the number of daemons that have it, the number of all daemons, and the time waited.
     pub async fn wait_in_force(
         &self,
         version: Offset,
-        patience: Duration,
+        timeout: Duration,
     ) -> (usize, usize, Duration) {
         let started = Instant::now();
-        let all = self.listing.instances.len();
+        let total = self.listing.instances.len();
         loop {
             let status = self.status().await;
-            let there = status
+            let in_force = status
                 .answers
                 .iter()
                 .filter(|status| status.table >= version)
                 .count();
-            if there == all || started.elapsed() >= patience {
-                return (there, all, started.elapsed());
+            if in_force == total || started.elapsed() >= timeout {
+                return (in_force, total, started.elapsed());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-fn gather<T>(results: Vec<(String, Result<T, CallError>)>) -> Reading<T> {
-    let mut reading = Reading {
+fn gather<T>(results: Vec<(String, Result<T, CallError>)>) -> Responses<T> {
+    let mut responses = Responses {
         answers: Vec::new(),
-        unread: Vec::new(),
+        failures: Vec::new(),
     };
     for (name, result) in results {
         match result {
-            Ok(answer) => reading.answers.push(answer),
-            Err(fault) => reading.unread.push(Unread { name, fault }),
+            Ok(answer) => responses.answers.push(answer),
+            Err(error) => responses.failures.push(Failure { name, error }),
         }
     }
-    reading
+    responses
 }
--- a/crates/ploverwick_operator/src/lib.rs
+++ b/crates/ploverwick_operator/src/lib.rs
@@ -1,9 +1,9 @@
-//! What operators do to a fleet: publish a table, look at its status and its time line.
+//! Operations on a fleet: publishing a table, and reading its status and timeline.
 
 mod fleet;
 mod publish;
 mod stream;
 
-pub use fleet::{Fleet, Reading, Unread};
-pub use publish::{PublishError, Published, publish};
+pub use fleet::{Failure, Fleet, Responses};
+pub use publish::{PublishError, PublishOutcome, publish};
 pub use stream::{Entry, Stream, StreamError};
--- a/crates/ploverwick_operator/src/publish.rs
+++ b/crates/ploverwick_operator/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes a table and waits for the verdict.
+//! Publishes a table and waits for its verdict.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,60 +10,62 @@
 use ploverwick_table::history::{NO_VERSION, Patch, Record, Verdict};
 use ploverwick_table::patch::diff;
 
-use crate::stream::{Entry, Stream, StreamError, TABLE};
+use crate::stream::{Entry, Stream, StreamError, TABLE_STREAM};
 
-/// How long one read waits for the publication to show.
-const WAIT: Duration = Duration::from_millis(500);
-/// How long the publication is looked for altogether.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// How often an append that certainly had no effect is tried again.
-const TRIES: u32 = 5;
-const PAUSE: Duration = Duration::from_millis(200);
+/// How long one read of the log waits for new records.
+const READ_WAIT: Duration = Duration::from_millis(500);
+/// How long to wait for the verdict on a published patch.
+const VERDICT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The maximum number of retries for an append that is known to have had no effect.
+const MAX_RETRIES: u32 = 5;
+/// The delay before an append or a failed read is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How a publication ended.
+/// The outcome of a publication.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Published {
-    /// It is accepted as this version.
+pub enum PublishOutcome {
+    /// The patch was accepted as this version.
     Accepted(Offset),
-    /// The table is the same as the base: nothing was published.
+    /// The table equals its base version, so nothing was published.
     Unchanged,
-    /// It was refused, for the reason given by the verdict.
+    /// The patch was rejected for the reason given by the verdict.
     Refused(Verdict),
 }
 
-/// Says why a publication's outcome is not known, or nothing was published.
+/// The reason why nothing was published or the outcome is unknown.
 #[derive(Debug, thiserror::Error)]
 pub enum PublishError {
-    /// The stream could not be read.
+    /// The table stream could not be read.
     #[error(transparent)]
     Stream(#[from] StreamError),
-    /// The base is not a version that the stream still shows.
+    /// The base version is no longer in the table stream, or never was.
     #[error("version {0} is not in the log; the newest is {1}: edit that one and publish again")]
     BaseUnknown(Offset, Offset),
-    /// The log took nothing.
+    /// The log accepted no record.
     #[error("nothing was published: {0}")]
     NotAppended(CallError),
-    /// The append's answer was lost, and the stream did not show it in time.
-    #[error("the outcome is not known: {0}; look for publication {1} with `table history`")]
+    /// The verdict on the patch could not be read from the stream in time, for instance because the
+    /// response to the append was lost.
+    #[error("the outcome is unknown: {0}; look for publication {1} with `table history`")]
     Unknown(CallError, String),
 }
 
-/// Publishes `table`, which was edited from version `base`.
+/// Publishes `table`, which is based on version `base`.
 ///
 /// # Errors
-/// Fails if nothing was published or the outcome is not known; the error says which.
+/// Fails if nothing was published or the outcome is unknown; the error says which.
 pub async fn publish(
     log: &Log,
     base: Offset,
     table: &Table,
     author: &str,
-) -> Result<Published, PublishError> {
+) -> Result<PublishOutcome, PublishError> {
     let mut stream = Stream::default();
-    let mut at_base = (base == NO_VERSION).then(Arc::default);
+    let mut base_table = (base == NO_VERSION).then(Arc::default);
     stream
         .read(log, Duration::ZERO, |entry, table| {
-            if reached(&entry, base) {
-                at_base = Some(Arc::clone(table));
+            if reaches_version(&entry, base) {
+                base_table = Some(Arc::clone(table));
             }
         })
         .await?;
@@ -71,10 +73,10 @@
         return Err(StreamError::Gap.into());
     }
     let newest = stream.history().version();
-    let at_base = at_base.ok_or(PublishError::BaseUnknown(base, newest))?;
-    let edits = diff(&at_base, table);
+    let base_table = base_table.ok_or(PublishError::BaseUnknown(base, newest))?;
+    let edits = diff(&base_table, table);
     if edits.is_empty() {
-        return Ok(Published::Unchanged);
+        return Ok(PublishOutcome::Unchanged);
     }
     let patch = Patch {
         id: uuid::Uuid::now_v7().to_string(),
@@ -83,64 +85,65 @@
         edits,
     };
     let id = patch.id.clone();
-    let lost = append(log, patch).await?;
-    find(log, &mut stream, &id, lost).await
+    let lost_response = append(log, patch).await?;
+    await_verdict(log, &mut stream, &id, lost_response).await
 }
 
-fn reached(entry: &Entry, base: Offset) -> bool {
+fn reaches_version(entry: &Entry, base: Offset) -> bool {
     matches!(entry.verdict, Verdict::Accepted(version) | Verdict::Adopted(version) if version == base)
 }
 
-/// Appends a patch. Returns the fault if the answer was lost, so that it may stand in the log.
+/// Appends a patch. Returns the error if the response was lost, in which case the patch may still
+/// be in the log.
 async fn append(log: &Log, patch: Patch) -> Result<Option<CallError>, PublishError> {
     let text = serde_json::to_string(&Record::Patch(patch)).unwrap_or_default();
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
-        match log.append(TABLE, vec![text.clone()]).await {
+        match log.append(TABLE_STREAM, vec![text.clone()]).await {
             Ok(_) => return Ok(None),
-            Err(fault) if !fault.had_no_effect() => return Ok(Some(fault)),
-            Err(fault) if tries == TRIES => return Err(PublishError::NotAppended(fault)),
+            Err(error) if !error.had_no_effect() => return Ok(Some(error)),
+            Err(error) if retries == MAX_RETRIES => return Err(PublishError::NotAppended(error)),
             Err(_) => {
-                tries += 1;
-                tokio::time::sleep(PAUSE).await;
+                retries += 1;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads on until the publication shows.
-async fn find(
+/// Reads the table stream until it contains the patch `id`, and returns the verdict.
+async fn await_verdict(
     log: &Log,
     stream: &mut Stream,
     id: &str,
-    lost: Option<CallError>,
-) -> Result<Published, PublishError> {
-    let deadline = Instant::now() + PATIENCE;
-    let mut fault = lost;
+    lost_response: Option<CallError>,
+) -> Result<PublishOutcome, PublishError> {
+    let deadline = Instant::now() + VERDICT_TIMEOUT;
+    let mut error = lost_response;
     while Instant::now() < deadline {
         let mut verdict = None;
-        let read = stream.read(log, WAIT, |entry, _| {
+        let read = stream.read(log, READ_WAIT, |entry, _| {
             if matches!(&entry.record, Record::Patch(patch) if patch.id == id) {
                 verdict = Some(entry.verdict);
             }
         });
         match read.await {
-            Err(StreamError::Log(unread)) => {
-                fault = Some(unread);
-                tokio::time::sleep(PAUSE).await;
+            Err(StreamError::Log(call_error)) => {
+                error = Some(call_error);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             other => other?,
         }
         match verdict {
-            Some(Verdict::Accepted(version)) => return Ok(Published::Accepted(version)),
-            Some(other) => return Ok(Published::Refused(other)),
+            Some(Verdict::Accepted(version)) => return Ok(PublishOutcome::Accepted(version)),
+            Some(other) => return Ok(PublishOutcome::Refused(other)),
             None => {}
         }
     }
-    let fault = fault.unwrap_or(CallError::Refused {
+    let error = error.unwrap_or(CallError::Refused {
         address: ([127, 0, 0, 1], 0).into(),
         status: 0,
-        body: "the stream does not show the publication".to_owned(),
+        body: "the table stream does not contain the publication".to_owned(),
     });
-    Err(PublishError::Unknown(fault, id.to_owned()))
+    Err(PublishError::Unknown(error, id.to_owned()))
 }
--- a/crates/ploverwick_operator/src/stream.rs
+++ b/crates/ploverwick_operator/src/stream.rs
@@ -1,4 +1,4 @@
-//! Reads the table's stream as daemons do.
+//! Replays the table stream in the same way as the daemons.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,64 +9,65 @@
 use ploverwick_table::Table;
 use ploverwick_table::history::{History, Record, Verdict};
 
-/// The name of the stream.
-pub(crate) const TABLE: &str = "table";
+/// The name of the table stream.
+pub(crate) const TABLE_STREAM: &str = "table";
 
-/// Says why the stream could not be read.
+/// The reason why the table stream could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
-    /// The log did not answer.
-    #[error("cannot read the table's stream")]
+    /// The log could not be read.
+    #[error("cannot read the table stream")]
     Log(#[from] CallError),
-    /// A record is not one that this version knows.
-    #[error("record {0} of the table's stream cannot be read: {1}; use a newer ploverwick")]
+    /// A record could not be decoded; a newer version may have written it.
+    #[error("cannot decode record {0} of the table stream: {1}; use a newer version of ploverwick")]
     Record(Offset, serde_json::Error),
-    /// The log no longer holds a snapshot, so the table is not known.
+    /// Records are missing and the log contains no snapshot, so the table is unknown.
     #[error(
-        "the log lost records of the table and holds no snapshot; ask a daemon with `table show`"
+        "table records have expired and the log holds no snapshot; ask a daemon with `table show`"
     )]
     Gap,
 }
 
-/// A record and what became of it.
+/// A record and its verdict.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// Its offset.
+    /// The offset.
     pub offset: Offset,
-    /// When the log took it, in milliseconds since the Unix epoch.
+    /// The time of the append, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The record.
     pub record: Record,
-    /// What became of it.
+    /// The verdict.
     pub verdict: Verdict,
 }
 
-/// The stream as far as it was read.
+/// A reader of the table stream.
 #[derive(Debug, Clone, Default)]
 pub struct Stream {
     history: History,
 }
 
 impl Stream {
-    /// Returns what the records read so far amount to.
+    /// Returns the history replayed from the records read so far.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Reads everything there is; `seen` gets every entry with the table that it left in force.
+    /// Reads to the end of the stream and calls `on_entry` with each entry and the table in force
+    /// after it.
     ///
     /// # Errors
-    /// Fails if the log does not answer or holds an unknown record.
+    /// Fails if the log cannot be read or contains a record that cannot be decoded.
     pub async fn read(
         &mut self,
         log: &Log,
         wait: Duration,
-        mut seen: impl FnMut(Entry, &Arc<Table>),
+        mut on_entry: impl FnMut(Entry, &Arc<Table>),
     ) -> Result<(), StreamError> {
         let mut wait = wait;
         loop {
-            let batch = log.read(TABLE, self.history.next(), wait).await?;
-            let ends = batch.reaches_end();
+            let batch = log.read(TABLE_STREAM, self.history.next(), wait).await?;
+            let at_end = batch.reaches_end();
             for record in batch.records {
                 let parsed = serde_json::from_str::<Record>(&record.text)
                     .map_err(|error| StreamError::Record(record.offset, error))?;
@@ -77,9 +78,9 @@
                     record: parsed,
                     verdict,
                 };
-                seen(entry, self.history.table());
+                on_entry(entry, self.history.table());
             }
-            if ends {
+            if at_end {
                 return Ok(());
             }
             wait = Duration::ZERO;
--- a/crates/ploverwick_ports/src/client.rs
+++ b/crates/ploverwick_ports/src/client.rs
@@ -84,7 +84,8 @@
     /// Sends a request and returns the response head; the body is still to be read.
     ///
     /// # Errors
-    /// Fails with [`CallError::Unreachable`] if nothing was sent, else with [`CallError::ResponseLost`].
+    /// Fails with [`CallError::Unreachable`] if nothing was sent, and otherwise with
+    /// [`CallError::ResponseLost`].
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/crates/ploverwick_ports/src/engine.rs
+++ b/crates/ploverwick_ports/src/engine.rs
@@ -135,7 +135,8 @@
     /// Orders an adapter to be loaded and waits up to `timeout` for it to finish.
     ///
     /// # Errors
-    /// After [`CallError::ResponseLost`] the adapter may or may not be loaded; fetch a report to find out.
+    /// After [`CallError::ResponseLost`] the adapter may or may not be loaded; fetch a report to
+    /// find out.
     pub async fn load(&self, order: &Order, timeout: Duration) -> Result<OrderAck, CallError> {
         self.order("/orders/load", order, timeout).await
     }
--- a/crates/ploverwick_ports/src/log.rs
+++ b/crates/ploverwick_ports/src/log.rs
@@ -79,7 +79,8 @@
     /// Appends records to a stream and returns the offset of the first.
     ///
     /// # Errors
-    /// After [`CallError::ResponseLost`] the records may or may not be in the stream; read it to find out.
+    /// After [`CallError::ResponseLost`] the records may or may not be in the stream; read it to
+    /// find out.
     pub async fn append(&self, stream: &str, records: Vec<String>) -> Result<Offset, CallError> {
         let path = format!("/streams/{stream}/append");
         let argument = Append { records };
--- a/crates/ploverwick_ports/src/roster.rs
+++ b/crates/ploverwick_ports/src/roster.rs
@@ -1,9 +1,10 @@
 //! Client of the roster, the platform's list of live and leaving instances and endpoints. The list
 //! may be stale.
 //!
-//! Protocol: `GET /roster` returns a [`Listing`] with an `ETag`; with `If-None-Match` it returns 304
-//! if the list has not changed. At 330 instances and 870 endpoints the full list is a quarter of a
-//! megabyte, so fetching it on every poll would exceed the control traffic budget many times over.
+//! Protocol: `GET /roster` returns a [`Listing`] with an `ETag`; with `If-None-Match` it returns
+//! 304 if the list has not changed. At 330 instances and 870 endpoints the full list is a quarter
+//! of a megabyte, so fetching it on every poll would exceed the control traffic budget many times
+//! over.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/ploverwick_table/src/history.rs
+++ b/crates/ploverwick_table/src/history.rs
@@ -164,7 +164,8 @@
     }
 
     /// Advances to the record at `offset`, opening a gap if records before it are missing. A second
-    /// gap replaces the first, because patches held back between the two can no longer be evaluated.
+    /// gap replaces the first, because patches held back between the two can no longer be
+    /// evaluated.
     fn advance(&mut self, offset: Offset) {
         if offset != self.next() {
             self.gap = Some(Gap {
--- a/crates/ploverwick_timeline/src/clock.rs
+++ b/crates/ploverwick_timeline/src/clock.rs
@@ -1,8 +1,9 @@
 //! A hybrid logical clock.
 //!
-//! A stamp holds milliseconds since the Unix epoch and a counter. Each process moves its clock
-//! past every stamp that reaches it, so that an effect is always stamped after its cause, even if
-//! the two instances' clocks disagree. Source: Kulkarni et al., "Logical Physical Clocks", 2014.
+//! A [`Stamp`] combines milliseconds since the Unix epoch with a counter. Each process advances its
+//! clock past every stamp it receives, so an effect always has a later stamp than its cause, even
+//! if the system clocks of the two instances disagree. See Kulkarni et al., "Logical Physical
+//! Clocks", 2014.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,7 +12,7 @@
 
 const COUNTER_BITS: u32 = 16;
 
-/// A point on the hybrid clock: milliseconds in the upper 48 bits, a counter in the lower 16.
+/// A hybrid logical clock timestamp: milliseconds in the upper 48 bits, a counter in the lower 16.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,7 +20,7 @@
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// Makes a stamp of milliseconds since the Unix epoch.
+    /// Creates a stamp from milliseconds since the Unix epoch.
     pub fn from_millis(millis: u64) -> Self {
         Self(millis << COUNTER_BITS)
     }
@@ -30,19 +31,20 @@
     }
 }
 
-/// The clock of one process.
+/// The hybrid logical clock of one process.
 #[derive(Debug, Default)]
 pub struct Clock {
     last: AtomicU64,
 }
 
 impl Clock {
-    /// Stamps an event of this process.
+    /// Returns the stamp for a local event.
     pub fn tick(&self) -> Stamp {
         self.advance(Stamp(0))
     }
 
-    /// Moves the clock past a stamp that came with a message, and stamps its arrival.
+    /// Advances the clock past the stamp of a received message and returns the stamp of its
+    /// arrival.
     pub fn observe(&self, seen: Stamp) -> Stamp {
         self.advance(seen)
     }
@@ -59,7 +61,7 @@
     }
 }
 
-/// Returns milliseconds since the Unix epoch.
+/// Returns the current system time in milliseconds since the Unix epoch.
 pub fn now_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |span| {
--- a/crates/ploverwick_timeline/src/event.rs
+++ b/crates/ploverwick_timeline/src/event.rs
@@ -1,4 +1,4 @@
-//! One event on the time line.
+//! Events on the timeline.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -8,30 +8,30 @@
 
 use crate::clock::Stamp;
 
-/// What an event is about.
+/// The category of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A request arrived at an entry or ended there.
+    /// A request arrived at an entry instance or completed there.
     Request,
-    /// An attempt was sent to an endpoint or ended.
+    /// An attempt was sent to an endpoint or completed.
     Attempt,
     /// An adapter was ordered, loaded or unloaded.
     Load,
-    /// A key was claimed or a claim was lost.
+    /// An idempotency key was claimed or a claim was lost.
     Claim,
-    /// A table was accepted, refused or adopted.
+    /// A table patch was accepted or rejected, or a snapshot was adopted.
     Table,
-    /// An endpoint changed its owner.
+    /// The owner of an endpoint changed.
     Ownership,
-    /// A member came, left or was suspected.
+    /// A member joined, left or was suspected of failure.
     Member,
-    /// A fault was switched on or off.
+    /// An injected fault was enabled or disabled.
     Fault,
 }
 
 impl Kind {
-    /// Returns the kind's name, as it stands in JSON.
+    /// Returns the name, as used in JSON.
     pub fn name(self) -> &'static str {
         match self {
             Self::Request => "request",
@@ -46,30 +46,30 @@
     }
 }
 
-/// One event of one process.
+/// An event recorded by a process.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it happened on the hybrid clock.
+    /// The hybrid logical clock timestamp.
     pub stamp: Stamp,
-    /// The process: a daemon's instance or a stand-in's name.
+    /// The name of the process: a daemon's instance or a stand-in.
     pub process: Cow<'static, str>,
-    /// What it is about.
+    /// The category.
     pub kind: Kind,
-    /// The request concerned.
+    /// The related request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<Request>,
-    /// The adapter concerned.
+    /// The related adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<Adapter>,
-    /// The endpoint concerned.
+    /// The related endpoint.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<Endpoint>,
-    /// What happened. Never holds a prompt or a key.
+    /// The description. It never contains prompts or keys.
     pub what: Cow<'static, str>,
 }
 
 impl Event {
-    /// Makes an event; [`crate::Recorder`] fills in stamp and process.
+    /// Creates an event; [`crate::Recorder`] sets the stamp and the process.
     pub fn new(kind: Kind, what: impl Into<Cow<'static, str>>) -> Self {
         Self {
             stamp: Stamp::default(),
@@ -82,21 +82,21 @@
         }
     }
 
-    /// Adds the request concerned.
+    /// Sets the related request.
     #[must_use]
     pub fn request(mut self, request: &Request) -> Self {
         self.request = Some(request.clone());
         self
     }
 
-    /// Adds the adapter concerned.
+    /// Sets the related adapter.
     #[must_use]
     pub fn adapter(mut self, adapter: &Adapter) -> Self {
         self.adapter = Some(adapter.clone());
         self
     }
 
-    /// Adds the endpoint concerned.
+    /// Sets the related endpoint.
     #[must_use]
     pub fn endpoint(mut self, endpoint: &Endpoint) -> Self {
         self.endpoint = Some(endpoint.clone());
--- a/crates/ploverwick_timeline/src/lib.rs
+++ b/crates/ploverwick_timeline/src/lib.rs
@@ -1,8 +1,8 @@
-//! A time line of events over all processes.
+//! A timeline of events across all processes.
 //!
-//! Each process records [`Event`]s in a bounded [`Ring`], stamped by a hybrid logical
-//! [`clock`], and serves them over HTTP. [`merge`](view::merge) puts them into one order and
-//! [`view`] shows them as text, JSON or an HTML page.
+//! Each process records [`Event`]s in a bounded [`Ring`], timestamped by a hybrid logical
+//! [`clock`], and serves them over HTTP. [`merge`](view::merge) combines the events of all
+//! processes into one order; [`view::text`] and [`page`] render them as text and HTML.
 
 pub mod clock;
 mod event;
--- a/crates/ploverwick_timeline/src/ring.rs
+++ b/crates/ploverwick_timeline/src/ring.rs
@@ -1,4 +1,4 @@
-//! A bounded record of events.
+//! Bounded in-memory storage of events.
 
 use std::borrow::Cow;
 use std::collections::VecDeque;
@@ -7,7 +7,7 @@
 use crate::Event;
 use crate::clock::{Clock, Stamp};
 
-/// The newest events of a process, up to a fixed number.
+/// A ring buffer of a process's newest events.
 #[derive(Debug)]
 pub struct Ring {
     events: VecDeque<Event>,
@@ -16,7 +16,7 @@
 }
 
 impl Ring {
-    /// Makes a ring for at most `capacity` events.
+    /// Creates a ring buffer for up to `capacity` events.
     pub fn new(capacity: usize) -> Self {
         Self {
             events: VecDeque::with_capacity(capacity),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds an event; the oldest one makes room.
+    /// Adds an event, dropping the oldest one if the buffer is full.
     pub fn push(&mut self, event: Event) {
         if self.events.len() == self.capacity {
             self.events.pop_front();
@@ -34,18 +34,18 @@
         self.events.push_back(event);
     }
 
-    /// Lists the events stamped after `after`, oldest first.
+    /// Returns the events stamped after `after`, oldest first.
     pub fn since(&self, after: Stamp) -> impl Iterator<Item = &Event> {
         self.events.iter().filter(move |event| event.stamp > after)
     }
 
-    /// Returns how many events made room for newer ones.
+    /// Returns the number of events dropped for newer ones.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 }
 
-/// Records the events of one process. Clones share the record.
+/// Records the events of one process. Clones share the ring buffer and the clock.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     shared: Arc<Shared>,
@@ -59,7 +59,7 @@
 }
 
 impl Recorder {
-    /// Starts a record for the named process, for at most `capacity` events.
+    /// Creates a recorder for the named process that keeps up to `capacity` events.
     pub fn new(process: &str, capacity: usize) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -73,29 +73,30 @@
     /// Stamps and records an event.
     pub fn record(&self, mut event: Event) {
         let mut ring = self.lock();
-        // Stamping under the lock keeps the ring in the order of its stamps.
+        // Stamping under the lock keeps the events in the order of their stamps.
         event.stamp = self.shared.clock.tick();
         event.process = Cow::Owned(self.shared.process.clone());
         ring.push(event);
     }
 
-    /// Returns the process's hybrid clock.
+    /// Returns the process's hybrid logical clock.
     pub fn clock(&self) -> &Clock {
         &self.shared.clock
     }
 
-    /// Copies the events stamped after `after`, oldest first.
+    /// Returns copies of the events stamped after `after`, oldest first.
     pub fn since(&self, after: Stamp) -> Vec<Event> {
         self.lock().since(after).cloned().collect()
     }
 
-    /// Returns how many events made room for newer ones.
+    /// Returns the number of events dropped for newer ones.
     pub fn dropped(&self) -> u64 {
         self.lock().dropped()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Ring> {
-        // No code panics while it holds the lock, and a ring is whole after every step.
+        // A poisoned lock is safe to use: no code panics while holding it, and the ring is
+        // consistent after every operation.
         self.shared
             .ring
             .lock()
--- a/crates/ploverwick_timeline/src/view.rs
+++ b/crates/ploverwick_timeline/src/view.rs
@@ -1,4 +1,4 @@
-//! Merges, filters and shows events of many processes.
+//! Merges, filters and formats the events of several processes.
 
 use std::fmt::Write;
 
@@ -6,45 +6,45 @@
 
 use crate::Event;
 
-/// Chooses events. An empty filter chooses all.
+/// Selects events. An empty filter matches all events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Filter {
-    /// Only events of this request.
+    /// Matches only events of this request.
     pub request: Option<String>,
-    /// Only events of this adapter.
+    /// Matches only events of this adapter.
     pub adapter: Option<String>,
-    /// Only events of this endpoint.
+    /// Matches only events of this endpoint.
     pub endpoint: Option<String>,
 }
 
 impl Filter {
-    /// Says whether the filter chooses an event.
-    pub fn chooses(&self, event: &Event) -> bool {
+    /// Returns whether the filter matches an event.
+    pub fn matches(&self, event: &Event) -> bool {
         let request = event.request.as_ref().map(Request::as_str);
         let adapter = event.adapter.as_ref().map(Adapter::as_str);
         let endpoint = event.endpoint.as_ref().map(Endpoint::as_str);
-        fits(self.request.as_ref(), request)
-            && fits(self.adapter.as_ref(), adapter)
-            && fits(self.endpoint.as_ref(), endpoint)
+        field_matches(self.request.as_ref(), request)
+            && field_matches(self.adapter.as_ref(), adapter)
+            && field_matches(self.endpoint.as_ref(), endpoint)
     }
 }
 
-fn fits(wanted: Option<&String>, found: Option<&str>) -> bool {
+fn field_matches(wanted: Option<&String>, found: Option<&str>) -> bool {
     wanted.is_none_or(|wanted| found == Some(wanted))
 }
 
-/// Puts the events of many processes into one order: by stamp, then by process.
+/// Merges the matching events of several processes, ordered by stamp and then by process.
 pub fn merge(lists: impl IntoIterator<Item = Vec<Event>>, filter: &Filter) -> Vec<Event> {
     let mut events: Vec<Event> = lists
         .into_iter()
         .flatten()
-        .filter(|event| filter.chooses(event))
+        .filter(|event| filter.matches(event))
         .collect();
     events.sort_by(|a, b| (a.stamp, &a.process).cmp(&(b.stamp, &b.process)));
     events
 }
 
-/// Shows events as text, a line each, with times from the first event on.
+/// Formats events as text, one per line, with times relative to the first event.
 pub fn text(events: &[Event]) -> String {
     let start = events.first().map_or(0, |event| event.stamp.millis());
     let mut out = String::new();
--- a/crates/ploverwick_timeline/tests/merged_view.rs
+++ b/crates/ploverwick_timeline/tests/merged_view.rs
@@ -1,4 +1,4 @@
-//! Events of many processes come into one order.
+//! Events of several processes are merged into one causally consistent order.
 
 use googletest::prelude::*;
 use ploverwick_names::Request;
@@ -7,9 +7,9 @@
 use ploverwick_timeline::{Event, Kind, Recorder, page};
 
 #[gtest]
-fn effect_after_cause() {
+fn effect_is_stamped_after_its_cause() {
     let (ahead, behind) = (Clock::default(), Clock::default());
-    // A clock that runs an hour ahead.
+    // The system clock of the first process is one hour ahead.
     let cause = ahead.observe(Stamp::from_millis(now_millis() + 3_600_000));
     let effect = behind.observe(cause);
     expect_that!(effect, gt(cause));
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn ring_is_bounded() {
+fn ring_drops_oldest_events() {
     let recorder = Recorder::new("p", 3);
     for index in 0..5 {
         recorder.record(Event::new(Kind::Request, format!("e{index}")));
@@ -32,9 +32,9 @@
 }
 
 #[gtest]
-fn merged_and_filtered() {
+fn merges_and_filters_events() {
     let (a, b) = (Recorder::new("a", 9), Recorder::new("b", 9));
-    let request = Request::new("r1").expect("it is a name");
+    let request = Request::new("r1").expect("the name is valid");
     a.record(Event::new(Kind::Request, "arrives").request(&request));
     b.clock().observe(a.clock().tick());
     b.record(Event::new(Kind::Attempt, "sent").request(&request));
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn page_escapes() {
+fn page_escapes_html() {
     let recorder = Recorder::new("p<1>", 9);
     recorder.record(Event::new(Kind::Fault, "<script>"));
     let page = page(&recorder.since(Stamp::default()));
