--- a/crates/ploverwick_scenario/src/bin/ploverwick-explore.rs
+++ b/crates/ploverwick_scenario/src/bin/ploverwick-explore.rs
@@ -1,39 +1,39 @@
-//! Explores many generated histories and reports how many broke a promise.
+//! Explores randomly generated histories and reports those that violate an invariant.
 
 use std::process::ExitCode;
 
 use indicatif::ProgressBar;
-use ploverwick_scenario::explore::{self, Explored};
+use ploverwick_scenario::explore::{self, Exploration};
 use ploverwick_scenario::{claims, owners, table};
 
 mod flags {
     #![allow(missing_docs, clippy::pedantic)]
 
     xflags::xflags! {
-        /// Explores generated histories; exits with 1 if one breaks a promise.
+        /// Explores randomly generated histories; exits with 1 if one violates an invariant.
         cmd ploverwick-explore {
-            /// How many histories of each kind; 10000 by default.
+            /// The number of histories of each kind; 10000 by default.
             optional --histories number: u64
-            /// The steps of a history; 200 by default.
+            /// The number of steps per history; 200 by default.
             optional --steps number: u64
-            /// The first seed; 1 by default.
+            /// The seed of the first history; 1 by default.
             optional --seed number: u64
         }
     }
 }
 
-/// A kind of history: its name, and how one is explored.
-type Kind = (&'static str, fn(u64, u64) -> Explored);
+/// A kind of history: its name and the function that explores one from a seed and a step count.
+type Kind = (&'static str, fn(u64, u64) -> Exploration);
 
 const KINDS: [Kind; 3] = [
     ("owners", |seed, steps| {
-        explore::owners(seed, steps, owners::Off::Nothing)
+        explore::owners(seed, steps, owners::Disabled::Nothing)
     }),
     ("claims", |seed, steps| {
-        explore::claims(seed, steps, claims::Off::Nothing)
+        explore::claims(seed, steps, claims::Disabled::Nothing)
     }),
     ("table", |seed, steps| {
-        explore::table(seed, steps, table::Off::Nothing)
+        explore::table(seed, steps, table::Disabled::Nothing)
     }),
 ];
 
@@ -48,14 +48,14 @@
     let mut broken = 0;
     for (name, explore) in KINDS {
         let progress = ProgressBar::new(histories);
-        let mut total = Explored::default();
+        let mut total = Exploration::default();
         for seed in first..first + histories {
-            let explored = explore(seed, steps);
-            total.steps += explored.steps;
-            total.faults += explored.faults;
-            if !explored.violations.is_empty() {
+            let exploration = explore(seed, steps);
+            total.steps += exploration.steps;
+            total.faults += exploration.faults;
+            if !exploration.violations.is_empty() {
                 broken += 1;
-                progress.suspend(|| report(name, seed, &explored));
+                progress.suspend(|| report(name, seed, &exploration));
             }
             progress.inc(1);
         }
@@ -69,9 +69,9 @@
     ExitCode::from(u8::from(broken > 0))
 }
 
-fn report(name: &str, seed: u64, explored: &Explored) {
+fn report(name: &str, seed: u64, exploration: &Exploration) {
     println!("{name}, seed {seed}:");
-    for event in &explored.events {
+    for event in &exploration.events {
         println!("  {event}");
     }
 }
--- a/crates/ploverwick_scenario/src/claims.rs
+++ b/crates/ploverwick_scenario/src/claims.rs
@@ -1,4 +1,4 @@
-//! Entries that claim keys through scribes of one partition.
+//! Simulates entry instances that claim idempotency keys through the scribes of one partition.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,137 +8,138 @@
 use ploverwick_claims::scribe::{Answer, Ask, Config, Outcome, Scribe};
 use ploverwick_names::{Caller, Incarnation, Instance, Life, Moment, Offset, Request};
 
-const WINDOW: Duration = Duration::from_mins(10);
-const TIMEOUT: Duration = Duration::from_secs(2);
-const BATCH: Duration = Duration::from_millis(20);
-/// When the world starts, in milliseconds since the Unix epoch.
-const EPOCH_MS: u64 = 1_000_000_000;
+const KEY_WINDOW: Duration = Duration::from_mins(10);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
+const BATCH_INTERVAL: Duration = Duration::from_millis(20);
+/// The start of the simulation, in milliseconds since the Unix epoch.
+const START_MS: u64 = 1_000_000_000;
 
-/// A mechanism that is switched off, to show that the checks notice.
+/// A mechanism to disable, to prove that the invariant checks detect its absence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Off {
-    /// Nothing is off.
+pub enum Disabled {
+    /// All mechanisms are enabled.
     #[default]
     Nothing,
-    /// Entries run without a claim.
+    /// Requests run without claiming their key.
     Claim,
-    /// A scribe takes a confirmed append for a won claim, without reading the stream back.
+    /// A confirmed append counts as a won claim, without reading the stream back.
     ReadBack,
-    /// Entries give keys back although their request ran.
+    /// Keys are forfeited even after their request ran.
     KeepAfterRun,
 }
 
-/// How the log treats an append.
+/// The outcome of an append to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It takes effect and is confirmed.
+pub enum AppendOutcome {
+    /// The append takes effect and is confirmed.
     Confirmed,
-    /// It takes effect and its answer is lost.
+    /// The append takes effect but its response is lost.
     AnswerLost,
-    /// It has no effect, and the scribe knows.
+    /// The append has no effect and the scribe is told so.
     Refused,
-    /// It has no effect, and the scribe does not know.
+    /// The append has no effect and the scribe is not told.
     Vanished,
 }
 
+/// A scribe and its read position in the stream.
 #[derive(Debug)]
-struct Desk {
+struct ScribeState {
     scribe: Scribe,
     read: usize,
 }
 
-/// A request at its entry.
+/// The state of a request at its entry instance.
 #[derive(Debug, Clone)]
-struct Entered {
+struct RequestState {
     key: String,
     life: Life,
     dispatched: bool,
-    over: bool,
+    ended: bool,
 }
 
-/// The world: a partition's stream, scribes and requests.
+/// A simulation of a partition's stream, its scribes and the requests that claim keys.
 #[derive(Debug)]
-pub struct World {
-    off: Off,
+pub struct Simulation {
+    disabled: Disabled,
     now: Moment,
     log: Vec<(u64, Record)>,
-    desks: Vec<Desk>,
-    requests: BTreeMap<Request, Entered>,
+    scribes: Vec<ScribeState>,
+    requests: BTreeMap<Request, RequestState>,
     runs: BTreeMap<String, BTreeSet<Request>>,
-    given_back: BTreeSet<Request>,
+    forfeited: BTreeSet<Request>,
     violations: Vec<String>,
     events: Vec<String>,
 }
 
 fn key(text: &str) -> Key {
-    let caller = Caller::new("caller").expect("the constant is a name");
+    let caller = Caller::new("caller").expect("the constant is a valid name");
     Key::digest(&caller, text)
 }
 
 fn request(text: &str) -> Request {
-    Request::new(text).expect("scripts use names")
+    Request::new(text).expect("scripts use valid names")
 }
 
-impl World {
-    /// Starts a world with some scribes of the same partition.
-    pub fn new(scribes: usize, off: Off) -> Self {
-        let desks = (0..scribes).map(|_| Desk {
+impl Simulation {
+    /// Creates a simulation with the given number of scribes, all of the same partition.
+    pub fn new(scribes: usize, disabled: Disabled) -> Self {
+        let scribes = (0..scribes).map(|_| ScribeState {
             scribe: new_scribe(),
             read: 0,
         });
         Self {
-            off,
+            disabled,
             now: Moment(0),
             log: Vec::new(),
-            desks: desks.collect(),
+            scribes: scribes.collect(),
             requests: BTreeMap::new(),
             runs: BTreeMap::new(),
-            given_back: BTreeSet::new(),
+            forfeited: BTreeSet::new(),
             violations: Vec::new(),
             events: Vec::new(),
         }
     }
 
-    /// Returns the promises broken so far.
+    /// Returns the invariant violations found so far.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Takes the events since the last call.
+    /// Returns and clears the events recorded since the last call.
     pub fn take_events(&mut self) -> Vec<String> {
         std::mem::take(&mut self.events)
     }
 
-    /// Returns how many records the stream has.
+    /// Returns the number of records in the stream.
     pub fn appended(&self) -> usize {
         self.log.len()
     }
 
-    fn note(&mut self, event: &str) {
+    fn record_event(&mut self, event: &str) {
         self.events.push(format!("{:>6} {event}", self.now.0));
     }
 
     fn now_ms(&self) -> u64 {
-        EPOCH_MS + self.now.0
+        START_MS + self.now.0
     }
 
-    /// Has an entry claim a key for a new request; the key was made `age` ago.
+    /// Lets an entry instance claim a key, created `age` ago, for a new request.
     pub fn ask(&mut self, entry: usize, name: &str, text: &str, scribe: usize, age: Duration) {
         let life = Life {
-            instance: Instance::new(&format!("entry-{entry}")).expect("the text is a name"),
+            instance: Instance::new(&format!("entry-{entry}")).expect("the text is a valid name"),
             incarnation: Incarnation(1),
         };
-        let entered = Entered {
+        let state = RequestState {
             key: text.to_owned(),
             life: life.clone(),
             dispatched: false,
-            over: false,
+            ended: false,
         };
-        self.note(&format!(
+        self.record_event(&format!(
             "{life} claims {text} for {name} at scribe {scribe}"
         ));
-        self.requests.insert(request(name), entered);
-        if self.off == Off::Claim {
+        self.requests.insert(request(name), state);
+        if self.disabled == Disabled::Claim {
             self.dispatch(&request(name));
             return;
         }
@@ -154,113 +155,116 @@
             made_ms: self.now_ms().saturating_sub(age),
         };
         let (now_ms, now) = (self.now_ms(), self.now);
-        let answer = self.desks[scribe].scribe.ask(ask, now_ms, now);
-        self.answered(answer);
+        let answer = self.scribes[scribe].scribe.ask(ask, now_ms, now);
+        self.handle_answer(answer);
     }
 
-    /// Has an entry give a key back, as it does for a request that did not run.
+    /// Lets an entry instance forfeit the key of a request that did not run.
     pub fn forfeit(&mut self, name: &str, scribe: usize) {
-        let Some(entered) = self.requests.get_mut(&request(name)) else {
+        let Some(state) = self.requests.get_mut(&request(name)) else {
             return;
         };
-        if entered.dispatched && self.off != Off::KeepAfterRun {
+        if state.dispatched && self.disabled != Disabled::KeepAfterRun {
             return;
         }
-        // From here on this request is never dispatched.
-        entered.over = true;
+        // The request is never dispatched after this point.
+        state.ended = true;
         let record = Record {
-            key: key(&entered.key),
+            key: key(&state.key),
             request: request(name),
-            life: entered.life.clone(),
+            life: state.life.clone(),
             forfeit: true,
         };
-        self.given_back.insert(request(name));
-        self.note(&format!("{name} gives its key back at scribe {scribe}"));
+        self.forfeited.insert(request(name));
+        self.record_event(&format!("{name} gives its key back at scribe {scribe}"));
         let ask = Ask {
             record,
             made_ms: self.now_ms(),
         };
         let (now_ms, now) = (self.now_ms(), self.now);
-        let _ = self.desks[scribe].scribe.ask(ask, now_ms, now);
+        let _ = self.scribes[scribe].scribe.ask(ask, now_ms, now);
     }
 
-    /// Replaces a scribe by a new one that knows nothing.
+    /// Restarts a scribe, which loses its state.
     pub fn restart_scribe(&mut self, index: usize) {
-        self.note(&format!("scribe {index} restarts"));
-        self.desks[index] = Desk {
+        self.record_event(&format!("scribe {index} restarts"));
+        self.scribes[index] = ScribeState {
             scribe: new_scribe(),
             read: 0,
         };
     }
 
-    /// Ends an entry: none of its requests is dispatched from here on.
+    /// Kills an entry instance: none of its requests is dispatched after this point.
     pub fn kill_entry(&mut self, entry: usize) {
         let name = format!("entry-{entry}");
-        self.note(&format!("{name} is killed"));
-        for entered in self.requests.values_mut() {
-            if entered.life.instance.as_str() == name {
-                entered.over = true;
+        self.record_event(&format!("{name} is killed"));
+        for state in self.requests.values_mut() {
+            if state.life.instance.as_str() == name {
+                state.ended = true;
             }
         }
     }
 
-    /// Lets a scribe append its batch, with the given fate.
-    pub fn append(&mut self, index: usize, fate: Fate) {
+    /// Lets a scribe append its batch, with the given outcome.
+    pub fn append(&mut self, index: usize, outcome: AppendOutcome) {
         let now = self.now;
-        let Some(records) = self.desks[index].scribe.batch(now) else {
+        let Some(records) = self.scribes[index].scribe.batch(now) else {
             return;
         };
         let shown: Vec<String> = records.iter().map(describe).collect();
-        self.note(&format!(
-            "scribe {index} appends [{}]: {fate:?}",
+        self.record_event(&format!(
+            "scribe {index} appends [{}]: {outcome:?}",
             shown.join(", ")
         ));
-        if matches!(fate, Fate::Confirmed | Fate::AnswerLost) {
+        if matches!(
+            outcome,
+            AppendOutcome::Confirmed | AppendOutcome::AnswerLost
+        ) {
             let at_ms = self.now_ms();
             self.log
                 .extend(records.iter().cloned().map(|record| (at_ms, record)));
         }
-        let scribe = &mut self.desks[index].scribe;
-        if fate == Fate::Refused {
+        let scribe = &mut self.scribes[index].scribe;
+        if outcome == AppendOutcome::Refused {
             scribe.not_appended(records.clone());
         } else {
             scribe.appended();
         }
-        if self.off == Off::ReadBack && fate == Fate::Confirmed {
+        if self.disabled == Disabled::ReadBack && outcome == AppendOutcome::Confirmed {
             for record in records.iter().filter(|record| !record.forfeit) {
                 self.dispatch(&record.request);
             }
         }
     }
 
-    /// Lets a scribe read the stream, up to `count` records.
+    /// Lets a scribe read up to `count` records of the stream.
     pub fn read(&mut self, index: usize, count: usize) {
-        let from = self.desks[index].read;
+        let from = self.scribes[index].read;
         let to = self.log.len().min(from + count);
-        for place in from..to {
-            let (at_ms, record) = self.log[place].clone();
-            let offset = Offset(place as u64 + 1);
-            let answer = self.desks[index].scribe.apply(offset, at_ms, &record);
-            self.answered(answer);
+        for position in from..to {
+            let (at_ms, record) = self.log[position].clone();
+            let offset = Offset(position as u64 + 1);
+            let answer = self.scribes[index].scribe.apply(offset, at_ms, &record);
+            self.handle_answer(answer);
         }
-        self.desks[index].read = to;
+        self.scribes[index].read = to;
         if to == self.log.len() {
-            self.desks[index].scribe.caught_up();
+            self.scribes[index].scribe.caught_up();
         }
     }
 
-    /// Moves the clock; scribes give up what waited too long.
+    /// Advances the clock; scribes time out claims that have waited too long.
     pub fn tick(&mut self, millis: u64) {
         self.now = Moment(self.now.0 + millis);
         let (now_ms, now) = (self.now_ms(), self.now);
-        for index in 0..self.desks.len() {
-            for answer in self.desks[index].scribe.tick(now_ms, now) {
-                self.answered(Some(answer));
+        for index in 0..self.scribes.len() {
+            for answer in self.scribes[index].scribe.tick(now_ms, now) {
+                self.handle_answer(Some(answer));
             }
         }
     }
 
-    fn answered(&mut self, answer: Option<Answer>) {
+    fn handle_answer(&mut self, answer: Option<Answer>) {
         let Some(answer) = answer else { return };
         let shown = match &answer.outcome {
             Outcome::Won => "wins".to_owned(),
@@ -268,33 +272,33 @@
             Outcome::Expired => "is too old".to_owned(),
             Outcome::Unconfirmed => "is not confirmed".to_owned(),
         };
-        self.note(&format!("{} {shown}", answer.request));
+        self.record_event(&format!("{} {shown}", answer.request));
         match answer.outcome {
             Outcome::Won => self.dispatch(&answer.request),
             _ => {
-                if let Some(entered) = self.requests.get_mut(&answer.request) {
-                    entered.over = true;
+                if let Some(state) = self.requests.get_mut(&answer.request) {
+                    state.ended = true;
                 }
             }
         }
     }
 
-    /// Runs a request, unless its entry has ended or has given it up.
+    /// Runs a request, unless its entry instance was killed or has abandoned it, or it ran before.
     fn dispatch(&mut self, request: &Request) {
-        let Some(entered) = self.requests.get_mut(request) else {
+        let Some(state) = self.requests.get_mut(request) else {
             return;
         };
-        if entered.over || entered.dispatched {
+        if state.ended || state.dispatched {
             return;
         }
-        entered.dispatched = true;
-        let key = entered.key.clone();
-        self.note(&format!("{request} runs"));
+        state.dispatched = true;
+        let key = state.key.clone();
+        self.record_event(&format!("{request} runs"));
         let runs = self.runs.entry(key.clone()).or_default();
         runs.insert(request.clone());
         if runs.len() > 1 {
             let what = format!("{key} ran {} times", runs.len());
-            self.note(&format!("BROKEN: {what}"));
+            self.record_event(&format!("BROKEN: {what}"));
             self.violations.push(what);
         }
     }
@@ -302,9 +306,9 @@
 
 fn new_scribe() -> Scribe {
     Scribe::new(Config {
-        batch: BATCH,
-        window: WINDOW,
-        timeout: TIMEOUT,
+        batch: BATCH_INTERVAL,
+        window: KEY_WINDOW,
+        timeout: CLAIM_TIMEOUT,
     })
 }
 
--- a/crates/ploverwick_scenario/src/lib.rs
+++ b/crates/ploverwick_scenario/src/lib.rs
@@ -1,8 +1,10 @@
-//! Small fakes around the decision crates, driven by scripts and by generated faults.
+//! Deterministic simulations of the decision crates, driven by scripts and by randomly generated
+//! faults.
 //!
-//! Each world holds the real state machines of some daemons, a fake of the log and, for ownership,
-//! of one engine, under a clock that moves only when told. It checks the promises after every
-//! step. [`Off`](owners::Off) names a mechanism that is switched off, to show that the checks notice.
+//! Each simulation runs the production state machines of several daemons against a fake log and,
+//! for ownership, a fake engine, under a simulated clock. It checks the invariants after every
+//! step. [`Disabled`](owners::Disabled) names a mechanism to disable, to prove that the checks
+//! detect its absence.
 
 pub mod claims;
 pub mod explore;
--- a/crates/ploverwick_scenario/src/owners.rs
+++ b/crates/ploverwick_scenario/src/owners.rs
@@ -1,4 +1,4 @@
-//! Daemons that compete for one engine.
+//! Simulates daemons that compete for the ownership of one engine.
 
 mod daemon;
 mod describe;
@@ -14,43 +14,43 @@
 use ploverwick_owner::holds::Standing;
 use ploverwick_owner::record::Record;
 
-use daemon::{Daemon, News};
+use daemon::{Daemon, Response};
 use describe::{message as describe_message, record as describe};
 use engine::Engine;
 
-/// How long an order may still arrive after its sender ended, in every world.
+/// The longest time that an order can still arrive after its sender was killed.
 pub const ORDER_LAG: Duration = Duration::from_secs(2);
 
-/// A mechanism that is switched off, to show that the checks notice.
+/// A mechanism to disable, to prove that the invariant checks detect its absence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Off {
-    /// Nothing is off.
+pub enum Disabled {
+    /// All mechanisms are enabled.
     #[default]
     Nothing,
-    /// Tokens are not shown before the first request.
+    /// The fencing token is not presented to the engine before the first request.
     Fence,
-    /// Unloads are not announced on engines that check no token.
+    /// Unloads are not announced in the log on engines that ignore fencing tokens.
     Intent,
-    /// Announcements of earlier owners are not heeded.
+    /// Unloads announced by earlier owners are disregarded.
     Doubt,
-    /// Adapters are unloaded without waiting for earlier owners to be settled.
+    /// Adapters are unloaded without waiting until earlier owners have settled.
     Settle,
 }
 
-/// The make-up of a world.
+/// The parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
-pub struct Plan {
+pub struct Setup {
     /// The number of daemons.
     pub daemons: usize,
-    /// Whether the engine checks tokens.
+    /// Whether the engine enforces fencing tokens.
     pub checks_tokens: bool,
-    /// The engine's slots.
+    /// The number of the engine's adapter slots.
     pub slots: u32,
-    /// The mechanism that is off.
-    pub off: Off,
+    /// The mechanism to disable.
+    pub disabled: Disabled,
 }
 
-/// Something on its way to the engine.
+/// A message from a daemon to the engine.
 #[derive(Debug, Clone)]
 enum Message {
     Run(Request, Variant),
@@ -59,34 +59,35 @@
     Fence(Token),
 }
 
-/// A message and its sender.
+/// A message with its sender.
 #[derive(Debug, Clone)]
-struct Sent {
+struct Envelope {
     from: Life,
     message: Message,
 }
 
-/// A life that was killed, and until when what it sent may arrive and run.
+/// A killed daemon process, and the time until which its messages may still arrive and its requests
+/// may still run.
 #[derive(Debug, Clone)]
-struct Dying {
+struct KilledLife {
     life: Life,
     until: Moment,
 }
 
-/// The world: daemons, a log and an engine.
+/// A simulation of daemons, a log and an engine.
 #[derive(Debug)]
-pub struct World {
-    plan: Plan,
+pub struct Simulation {
+    setup: Setup,
     now: Moment,
     log: Vec<Record>,
-    log_out: bool,
+    log_unavailable: bool,
     lose_appends: u32,
     engine: Engine,
     daemons: Vec<Daemon>,
-    wanted: usize,
+    desired_owner: usize,
     silent: BTreeSet<usize>,
-    on_the_way: Vec<Sent>,
-    dying: Vec<Dying>,
+    in_flight: Vec<Envelope>,
+    killed: Vec<KilledLife>,
     ran: BTreeSet<Request>,
     refused: BTreeSet<Request>,
     violations: Vec<String>,
@@ -95,42 +96,42 @@
 
 /// Returns the endpoint that all daemons compete for.
 pub(crate) fn endpoint() -> Endpoint {
-    Endpoint::new("engine").expect("the constant is a name")
+    Endpoint::new("engine").expect("the constant is a valid name")
 }
 
-/// Makes an adapter's only version of its name.
+/// Returns the single version of the named adapter that simulations use.
 pub fn variant(adapter: &str) -> Variant {
     Variant {
-        adapter: Adapter::new(adapter).expect("scripts use names"),
-        version: Version::new("v1").expect("the constant is a name"),
+        adapter: Adapter::new(adapter).expect("scripts use valid names"),
+        version: Version::new("v1").expect("the constant is a valid name"),
     }
 }
 
 fn life(index: usize, incarnation: u64) -> Life {
     Life {
-        instance: Instance::new(&format!("d{}", index + 1)).expect("the text is a name"),
+        instance: Instance::new(&format!("d{}", index + 1)).expect("the text is a valid name"),
         incarnation: Incarnation(incarnation),
     }
 }
 
-impl World {
-    /// Starts a world in which the first daemon is wanted as the owner.
-    pub fn new(plan: Plan) -> Self {
-        let daemons = (0..plan.daemons)
-            .map(|index| Daemon::new(life(index, 1), plan))
+impl Simulation {
+    /// Creates a simulation in which the first daemon is the desired owner.
+    pub fn new(setup: Setup) -> Self {
+        let daemons = (0..setup.daemons)
+            .map(|index| Daemon::new(life(index, 1), setup))
             .collect();
         Self {
-            plan,
+            setup,
             now: Moment(1000),
             log: Vec::new(),
-            log_out: false,
+            log_unavailable: false,
             lose_appends: 0,
-            engine: Engine::new(plan.checks_tokens, plan.slots),
+            engine: Engine::new(setup.checks_tokens, setup.slots),
             daemons,
-            wanted: 0,
+            desired_owner: 0,
             silent: BTreeSet::new(),
-            on_the_way: Vec::new(),
-            dying: Vec::new(),
+            in_flight: Vec::new(),
+            killed: Vec::new(),
             ran: BTreeSet::new(),
             refused: BTreeSet::new(),
             violations: Vec::new(),
@@ -138,26 +139,26 @@
         }
     }
 
-    /// Returns the promises broken so far.
+    /// Returns the invariant violations found so far.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Takes the events since the last call.
+    /// Returns and clears the events recorded since the last call.
     pub fn take_events(&mut self) -> Vec<String> {
         std::mem::take(&mut self.events)
     }
 
-    fn note(&mut self, event: &str) {
+    fn record_event(&mut self, event: &str) {
         self.events.push(format!("{:>6} {event}", self.now.0));
     }
 
-    /// Says which daemon the hash chooses as the owner.
-    pub fn want(&mut self, index: usize) {
-        self.wanted = index;
+    /// Sets the desired owner, which production daemons choose by hashing.
+    pub fn set_desired_owner(&mut self, index: usize) {
+        self.desired_owner = index;
     }
 
-    /// Marks a daemon as silent for so long that others count it as gone, or as heard again.
+    /// Sets whether the other daemons consider a daemon dead because they no longer hear from it.
     pub fn set_silent(&mut self, index: usize, silent: bool) {
         if silent {
             self.silent.insert(index);
@@ -166,136 +167,142 @@
         }
     }
 
-    /// Stops a daemon from doing anything, or lets it go on.
+    /// Pauses or resumes a daemon.
     pub fn set_paused(&mut self, index: usize, paused: bool) {
-        self.daemons[index].troubles.paused = paused;
+        self.daemons[index].faults.paused = paused;
     }
 
-    /// Keeps what a daemon sends on its way, as if it were paused between its last check and the
-    /// write, or lets it arrive.
+    /// Holds back a daemon's messages to the engine, as if it were paused between its last check
+    /// and the write, or delivers the messages held back.
     pub fn set_held(&mut self, index: usize, held: bool) {
-        self.daemons[index].troubles.held = held;
+        self.daemons[index].faults.held = held;
         if !held {
             self.deliver(index);
         }
     }
 
-    /// Cuts a daemon off from the log, or joins it again.
-    pub fn set_cut(&mut self, index: usize, cut: bool) {
-        self.daemons[index].troubles.cut = cut;
+    /// Partitions a daemon from the log, or heals the partition.
+    pub fn set_log_partitioned(&mut self, index: usize, log_partitioned: bool) {
+        self.daemons[index].faults.log_partitioned = log_partitioned;
     }
 
-    /// Cuts a daemon off from the engine's answers, or joins it again.
-    pub fn set_deaf(&mut self, index: usize, deaf: bool) {
-        self.daemons[index].troubles.deaf = deaf;
+    /// Sets whether a daemon loses the engine's reports and responses.
+    pub fn set_responses_lost(&mut self, index: usize, responses_lost: bool) {
+        self.daemons[index].faults.responses_lost = responses_lost;
     }
 
-    /// Switches the log off or on.
-    pub fn set_log_out(&mut self, out: bool) {
-        self.log_out = out;
+    /// Makes the log unavailable or available.
+    pub fn set_log_unavailable(&mut self, unavailable: bool) {
+        self.log_unavailable = unavailable;
     }
 
-    /// Has the next appends take effect while their answers are lost.
+    /// Lets the next `count` appends take effect but loses their responses.
     pub fn lose_appends(&mut self, count: u32) {
         self.lose_appends = count;
     }
 
-    /// Kills a daemon and starts its next life. What it sent may arrive until the order lag is
-    /// over, and what it ran may run as long.
+    /// Kills a daemon and restarts it with the next incarnation. Messages of the killed process may
+    /// still arrive, and its requests may still run, until the order lag has passed.
     pub fn kill(&mut self, index: usize) {
         let before = self.daemons[index].life().clone();
-        self.note(&format!("{before} is killed"));
+        self.record_event(&format!("{before} is killed"));
         let next = life(index, before.incarnation.0 + 1);
-        self.daemons[index] = Daemon::new(next, self.plan);
+        self.daemons[index] = Daemon::new(next, self.setup);
         for daemon in &mut self.daemons {
             daemon.holds.ended(&before, self.now);
         }
-        self.dying.push(Dying {
+        self.killed.push(KilledLife {
             life: before,
             until: self.now + ORDER_LAG,
         });
     }
 
-    /// Lets what killed daemons had sent arrive now.
-    pub fn deliver_dead(&mut self) {
-        let lives: Vec<Life> = self.dying.iter().map(|dying| dying.life.clone()).collect();
+    /// Delivers the messages of all killed processes now.
+    pub fn deliver_killed(&mut self) {
+        let lives: Vec<Life> = self
+            .killed
+            .iter()
+            .map(|killed| killed.life.clone())
+            .collect();
         for life in lives {
             self.deliver_from(&life);
         }
     }
 
-    /// Ends what is left of lives whose order lag is over.
-    fn bury(&mut self) {
+    /// Delivers the last messages of killed processes whose order lag has passed, and cancels their
+    /// runs.
+    fn expire_killed(&mut self) {
         let now = self.now;
-        let (over, left): (Vec<Dying>, Vec<Dying>) = std::mem::take(&mut self.dying)
-            .into_iter()
-            .partition(|dying| dying.until <= now);
-        self.dying = left;
-        for dying in over {
-            self.deliver_from(&dying.life);
-            self.engine.drop_runs_of(&dying.life);
+        let (expired, remaining): (Vec<KilledLife>, Vec<KilledLife>) =
+            std::mem::take(&mut self.killed)
+                .into_iter()
+                .partition(|killed| killed.until <= now);
+        self.killed = remaining;
+        for killed in expired {
+            self.deliver_from(&killed.life);
+            self.engine.cancel_runs_of(&killed.life);
         }
     }
 
-    /// Restarts the engine: nothing is loaded, nothing runs, every token is forgotten.
+    /// Restarts the engine, which loses its loaded adapters, its runs and the newest token.
     pub fn restart_engine(&mut self) {
-        self.note("engine restarts");
+        self.record_event("engine restarts");
         self.engine.restart();
     }
 
-    /// Hands a request to a daemon, as an entry would.
+    /// Submits a request to a daemon, as an entry instance does.
     pub fn submit(&mut self, index: usize, request: &str, adapter: &str) {
-        let request = Request::new(request).expect("scripts use names");
+        let request = Request::new(request).expect("scripts use valid names");
         let action = self.daemons[index].submit(request.clone(), variant(adapter), self.now);
-        self.note(&format!(
+        self.record_event(&format!(
             "{} gets {request} for {adapter}",
             self.daemons[index].life()
         ));
-        self.act(index, action);
+        self.perform(index, action);
     }
 
-    /// Ends a run at the engine.
+    /// Completes a request that runs on the engine.
     pub fn finish(&mut self, request: &str) {
         let Some(owner) = self.engine.finish(request) else {
             return;
         };
-        self.note(&format!("engine finishes {request}"));
-        let request = Request::new(request).expect("scripts use names");
-        self.tell(&owner, News::Finished(request));
+        self.record_event(&format!("engine finishes {request}"));
+        let request = Request::new(request).expect("scripts use valid names");
+        self.notify(&owner, Response::Finished(request));
     }
 
-    /// Lists the daemons that take themselves for the owner.
+    /// Returns the daemons that consider themselves the owner.
     pub fn owners(&self) -> Vec<usize> {
         let daemons = self.daemons.iter().enumerate();
         let owners = daemons.filter(|(_, daemon)| daemon.is_owner());
         owners.map(|(index, _)| index).collect()
     }
 
-    /// Lists the runs at the engine.
+    /// Returns the requests that run on the engine.
     pub fn running(&self) -> Vec<Request> {
         self.engine.running()
     }
 
-    /// Moves the clock and lets every daemon that can act once.
+    /// Advances the clock, lets every daemon take a turn, and checks the invariants.
     pub fn tick(&mut self, millis: u64) {
         self.now = Moment(self.now.0 + millis);
-        self.bury();
+        self.expire_killed();
         for index in 0..self.daemons.len() {
             self.turn(index);
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// Lets one daemon read the log, plan and act.
+    /// Lets one daemon read the log, update its ownership and act, unless it is paused.
     pub fn turn(&mut self, index: usize) {
-        if self.daemons[index].troubles.paused {
+        if self.daemons[index].faults.paused {
             return;
         }
         self.read(index);
-        self.plan_owner(index);
+        self.update_ownership(index);
         let report = self.engine.report();
         let actions = self.daemons[index].step(&report, self.now);
-        self.act(index, actions);
+        self.perform(index, actions);
         if let Some(token) = self.daemons[index].token_to_show(self.now) {
             self.send(index, Message::Fence(token));
         }
@@ -309,30 +316,30 @@
     }
 
     fn read(&mut self, index: usize) {
-        if self.log_out || self.daemons[index].troubles.cut {
+        if self.log_unavailable || self.daemons[index].faults.log_partitioned {
             return;
         }
         let from = self.daemons[index].read;
-        for place in from..self.log.len() {
-            let record = self.log[place].clone();
-            let offset = Offset(place as u64 + 1);
+        for position in from..self.log.len() {
+            let record = self.log[position].clone();
+            let offset = Offset(position as u64 + 1);
             let now = self.now;
-            let told = self.daemons[index].apply(offset, &record, now);
-            if let Some((event, actions)) = told {
+            let change = self.daemons[index].apply(offset, &record, now);
+            if let Some((event, actions)) = change {
                 let life = self.daemons[index].life().clone();
-                self.note(&format!("{life} {event}"));
-                self.act(index, actions);
+                self.record_event(&format!("{life} {event}"));
+                self.perform(index, actions);
             }
         }
         self.daemons[index].read = self.log.len();
     }
 
-    fn plan_owner(&mut self, index: usize) {
-        let instance = self.daemons[self.wanted].life().instance.clone();
+    fn update_ownership(&mut self, index: usize) {
+        let instance = self.daemons[self.desired_owner].life().instance.clone();
         let desired = BTreeMap::from([(endpoint(), instance)]);
-        let heard = self.daemons.iter().enumerate();
-        let heard = heard.filter(|(index, _)| !self.silent.contains(index));
-        let present: Vec<Life> = heard.map(|(_, daemon)| daemon.life().clone()).collect();
+        let reachable = self.daemons.iter().enumerate();
+        let reachable = reachable.filter(|(index, _)| !self.silent.contains(index));
+        let present: Vec<Life> = reachable.map(|(_, daemon)| daemon.life().clone()).collect();
         let standing = |life: &Life| {
             if present.contains(life) {
                 Standing::Present
@@ -341,7 +348,7 @@
             }
         };
         let now = self.now;
-        let log_answers = !self.log_out && !self.daemons[index].troubles.cut;
+        let log_answers = !self.log_unavailable && !self.daemons[index].faults.log_partitioned;
         let holds = &mut self.daemons[index].holds;
         let records = holds.plan(&desired, standing, log_answers, now);
         for record in records {
@@ -354,8 +361,8 @@
 
     fn append(&mut self, index: usize, record: Record) {
         let life = self.daemons[index].life().clone();
-        if self.log_out || self.daemons[index].troubles.cut {
-            self.note(&format!("{life} cannot append"));
+        if self.log_unavailable || self.daemons[index].faults.log_partitioned {
+            self.record_event(&format!("{life} cannot append"));
             self.daemons[index].not_appended(&record, self.now);
             return;
         }
@@ -366,21 +373,21 @@
         } else {
             ""
         };
-        self.note(&format!(
+        self.record_event(&format!(
             "{life} appends {offset}: {}{lost}",
             describe(&record)
         ));
         self.log.push(record);
     }
 
-    fn act(&mut self, index: usize, actions: Vec<daemon::Act>) {
+    fn perform(&mut self, index: usize, actions: Vec<daemon::Effect>) {
         for action in actions {
             match action {
-                daemon::Act::Append(record) => self.append(index, record),
-                daemon::Act::Send(message) => self.send(index, message),
-                daemon::Act::Refuse(request, code) => {
+                daemon::Effect::Append(record) => self.append(index, record),
+                daemon::Effect::Send(message) => self.send(index, message),
+                daemon::Effect::Refuse(request, code) => {
                     let life = self.daemons[index].life().clone();
-                    self.note(&format!("{life} refuses {request}: {}", code.name()));
+                    self.record_event(&format!("{life} refuses {request}: {}", code.name()));
                     self.refused.insert(request);
                 }
             }
@@ -389,17 +396,17 @@
 
     fn send(&mut self, index: usize, message: Message) {
         let from = self.daemons[index].life().clone();
-        let held = self.daemons[index].troubles.held;
-        self.note(&format!(
+        let held = self.daemons[index].faults.held;
+        self.record_event(&format!(
             "{from} sends {}{}",
             describe_message(&message),
             if held { ", held" } else { "" }
         ));
-        let sent = Sent { from, message };
+        let envelope = Envelope { from, message };
         if held {
-            self.on_the_way.push(sent);
+            self.in_flight.push(envelope);
         } else {
-            self.arrive(&sent);
+            self.arrive(&envelope);
         }
     }
 
@@ -409,76 +416,80 @@
     }
 
     fn deliver_from(&mut self, life: &Life) {
-        let all = std::mem::take(&mut self.on_the_way);
-        let (arriving, staying): (Vec<Sent>, Vec<Sent>) =
-            all.into_iter().partition(|sent| sent.from == *life);
-        self.on_the_way = staying;
-        for sent in arriving {
-            self.note(&format!("late: {}", describe_message(&sent.message)));
-            self.arrive(&sent);
+        let all = std::mem::take(&mut self.in_flight);
+        let (arriving, remaining): (Vec<Envelope>, Vec<Envelope>) =
+            all.into_iter().partition(|envelope| envelope.from == *life);
+        self.in_flight = remaining;
+        for envelope in arriving {
+            self.record_event(&format!("late: {}", describe_message(&envelope.message)));
+            self.arrive(&envelope);
         }
     }
 
-    fn arrive(&mut self, sent: &Sent) {
-        let (news, event) = match &sent.message {
+    /// Lets the engine process a message and returns its response to the sender.
+    fn arrive(&mut self, envelope: &Envelope) {
+        let (response, accepted) = match &envelope.message {
             Message::Run(request, variant) => {
-                let runs = self.engine.run(request, variant, &sent.from);
+                let runs = self.engine.run(request, variant, &envelope.from);
                 if runs {
                     self.ran.insert(request.clone());
                 }
-                (News::Ran(request.clone(), runs), runs)
+                (Response::Ran(request.clone(), runs), runs)
             }
             Message::Load(variant, token) => {
                 let loads = self.engine.load(variant, *token);
-                (News::Loaded(variant.clone(), loads), loads)
+                (Response::Loaded(variant.clone(), loads), loads)
             }
             Message::Unload(variant, token) => {
                 let unloads = self.engine.unload(variant, *token);
-                (News::Unloaded(variant.clone(), unloads), unloads)
+                (Response::Unloaded(variant.clone(), unloads), unloads)
             }
             Message::Fence(token) => {
                 let sees = self.engine.fence(*token);
-                (News::Shown(*token, self.engine.incarnation(), sees), sees)
+                (
+                    Response::Fenced(*token, self.engine.incarnation(), sees),
+                    sees,
+                )
             }
         };
-        if !event {
-            self.note(&format!(
+        if !accepted {
+            self.record_event(&format!(
                 "engine refuses {}",
-                describe_message(&sent.message)
+                describe_message(&envelope.message)
             ));
         }
-        self.tell(&sent.from.clone(), news);
+        self.notify(&envelope.from.clone(), response);
     }
 
-    fn tell(&mut self, life: &Life, news: News) {
+    fn notify(&mut self, life: &Life, response: Response) {
         let now = self.now;
         let daemon = self.daemons.iter_mut().find(|daemon| daemon.life() == life);
         let Some(daemon) = daemon else { return };
-        let acts = daemon.hear(news, now);
+        let effects = daemon.handle_response(response, now);
         let index = self.daemons.iter().position(|daemon| daemon.life() == life);
         if let Some(index) = index {
-            self.act(index, acts);
+            self.perform(index, effects);
         }
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let unloaded = self.engine.take_unloaded_in_use();
         for variant in unloaded {
-            self.violate(format!("{variant} was unloaded under a running request"));
+            self.report_violation(format!("{variant} was unloaded under a running request"));
         }
         let both: Vec<Request> = self.ran.intersection(&self.refused).cloned().collect();
         for request in both {
-            self.violate(format!("{request} was refused as not run, and ran"));
+            self.report_violation(format!("{request} was refused as not run, and ran"));
             self.refused.remove(&request);
         }
     }
 
-    fn violate(&mut self, what: String) {
-        self.note(&format!("BROKEN: {what}"));
+    fn report_violation(&mut self, what: String) {
+        self.record_event(&format!("BROKEN: {what}"));
         self.violations.push(what);
     }
 
-    /// Describes the owner, the engine's slots and its runs.
+    /// Describes the owners and the engine's loaded adapters and runs.
     pub fn describe(&self) -> String {
         let owner = self.daemons.iter().filter(|daemon| daemon.is_owner());
         let owners: Vec<String> = owner.map(|daemon| daemon.life().to_string()).collect();
--- a/crates/ploverwick_scenario/src/owners/daemon.rs
+++ b/crates/ploverwick_scenario/src/owners/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon's state machines of ownership, glued as the real daemon glues them.
+//! A daemon's ownership state machines, connected in the same way as in the production daemon.
 
 use std::time::Duration;
 
@@ -9,60 +9,60 @@
 use ploverwick_owner::record::Record;
 use ploverwick_owner::tenure::{Standing, Tenure};
 
-use super::{Message, ORDER_LAG, Off, Plan, endpoint};
+use super::{Disabled, Message, ORDER_LAG, Setup, endpoint};
 
-const DEADLINE: Duration = Duration::from_mins(1);
-const LOADS: u32 = 4;
+const REQUEST_TIMEOUT: Duration = Duration::from_mins(1);
+const LOAD_BUDGET: u32 = 4;
 
-/// What a daemon does.
+/// An action of a daemon.
 #[derive(Debug)]
-pub(super) enum Act {
+pub(super) enum Effect {
     Append(Record),
     Send(Message),
     Refuse(Request, Code),
 }
 
-/// What a daemon hears of what it sent.
+/// The engine's response to a message.
 #[derive(Debug)]
-pub(super) enum News {
+pub(super) enum Response {
     Ran(Request, bool),
     Finished(Request),
     Loaded(Variant, bool),
     Unloaded(Variant, bool),
-    Shown(Token, Incarnation, bool),
+    Fenced(Token, Incarnation, bool),
 }
 
-/// A daemon.
+/// A simulated daemon.
 #[derive(Debug)]
 pub(super) struct Daemon {
     pub(super) holds: Controller,
     tenure: Tenure,
     machine: Machine,
-    off: Off,
+    disabled: Disabled,
     checks_tokens: bool,
     pub(super) read: usize,
-    pub(super) troubles: Troubles,
+    pub(super) faults: Faults,
 }
 
-/// What is wrong with a daemon.
+/// The faults injected into a daemon.
 #[derive(Debug, Default)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "each trouble comes alone or with any other"
+    reason = "the faults are independent and can be combined"
 )]
-pub(super) struct Troubles {
-    /// It does nothing.
+pub(super) struct Faults {
+    /// The daemon is paused.
     pub(super) paused: bool,
-    /// What it sends stays on its way.
+    /// Messages to the engine are held back.
     pub(super) held: bool,
-    /// It cannot reach the log.
-    pub(super) cut: bool,
-    /// It does not hear the engine.
-    pub(super) deaf: bool,
+    /// The log is unreachable.
+    pub(super) log_partitioned: bool,
+    /// Reports and responses of the engine are lost.
+    pub(super) responses_lost: bool,
 }
 
 impl Daemon {
-    pub(super) fn new(life: Life, plan: Plan) -> Self {
+    pub(super) fn new(life: Life, setup: Setup) -> Self {
         let config = holds::Config {
             order_lag: ORDER_LAG,
             refresh: Duration::from_hours(1),
@@ -77,12 +77,12 @@
         });
         Self {
             holds: Controller::new(life, config),
-            tenure: Tenure::new(plan.checks_tokens),
+            tenure: Tenure::new(setup.checks_tokens),
             machine,
-            off: plan.off,
-            checks_tokens: plan.checks_tokens,
+            disabled: setup.disabled,
+            checks_tokens: setup.checks_tokens,
             read: 0,
-            troubles: Troubles::default(),
+            faults: Faults::default(),
         }
     }
 
@@ -96,44 +96,49 @@
 
     fn rights(&self, now: Moment) -> Rights {
         let permit = self.holds.permit(&endpoint(), now);
-        let mut rights = self.tenure.rights(permit, LOADS);
+        let mut rights = self.tenure.rights(permit, LOAD_BUDGET);
         if !self.is_owner() {
             return rights;
         }
-        match self.off {
-            Off::Nothing | Off::Fence => {}
-            Off::Settle => rights.unload = rights.send,
-            Off::Intent => rights.announce = false,
-            Off::Doubt => rights.doubtful.clear(),
+        match self.disabled {
+            Disabled::Nothing | Disabled::Fence => {}
+            Disabled::Settle => rights.unload = rights.send,
+            Disabled::Intent => rights.announce = false,
+            Disabled::Doubt => rights.doubtful.clear(),
         }
         rights
     }
 
-    pub(super) fn submit(&mut self, request: Request, variant: Variant, now: Moment) -> Vec<Act> {
+    pub(super) fn submit(
+        &mut self,
+        request: Request,
+        variant: Variant,
+        now: Moment,
+    ) -> Vec<Effect> {
         if !self.is_owner() {
-            return vec![Act::Refuse(request, Code::NotOwner)];
+            return vec![Effect::Refuse(request, Code::NotOwner)];
         }
         let job = Job {
             request,
             variant,
             priority: 5,
             weight: 1.0,
-            deadline: now + DEADLINE,
+            deadline: now + REQUEST_TIMEOUT,
             arrived: now,
         };
         let refused = self.machine.submit(job).into_iter().collect();
-        self.acts(refused)
+        self.effects(refused)
     }
 
-    pub(super) fn step(&mut self, report: &Report, now: Moment) -> Vec<Act> {
-        if !self.troubles.deaf {
+    pub(super) fn step(&mut self, report: &Report, now: Moment) -> Vec<Effect> {
+        if !self.faults.responses_lost {
             self.tenure.engine_is(report.incarnation);
             let settled = self.rights(now).unload;
             self.machine.report(report, settled, now);
         }
         let rights = self.rights(now);
         let actions = self.machine.step(&rights, now);
-        self.acts(actions)
+        self.effects(actions)
     }
 
     pub(super) fn token_to_show(&self, now: Moment) -> Option<Token> {
@@ -147,7 +152,7 @@
         self.tenure.quits(quiet, released)
     }
 
-    /// Closes the endpoint and says whether it may be released already.
+    /// Closes the endpoint and returns whether it can be released: no unload is in progress.
     pub(super) fn may_release(&mut self) -> bool {
         self.tenure.closed();
         self.machine.close();
@@ -159,11 +164,11 @@
         offset: Offset,
         record: &Record,
         now: Moment,
-    ) -> Option<(String, Vec<Act>)> {
+    ) -> Option<(String, Vec<Effect>)> {
         match self.holds.apply(offset, record, now)? {
             Change::Gained(_, token) => {
                 self.tenure.gained();
-                if self.off == Off::Fence {
+                if self.disabled == Disabled::Fence {
                     self.tenure.shown(token, Incarnation(u64::MAX));
                 }
                 self.machine.open();
@@ -185,71 +190,74 @@
         }
     }
 
-    fn announced(&mut self, variant: &Variant, valid: bool, now: Moment) -> Vec<Act> {
+    fn announced(&mut self, variant: &Variant, valid: bool, now: Moment) -> Vec<Effect> {
         let rights = self.rights(now);
         let action = self.machine.announced(variant, valid, &rights, now);
-        self.acts(action.into_iter().collect())
+        self.effects(action.into_iter().collect())
     }
 
     pub(super) fn not_appended(&mut self, record: &Record, now: Moment) {
         if let Record::Intent { variant, .. } = record {
-            // What it decides to append next waits for the log too.
+            // An append that follows from this would fail too, so it is dropped.
             let _ = self.announced(variant, false, now);
         }
     }
 
-    pub(super) fn hear(&mut self, news: News, now: Moment) -> Vec<Act> {
-        let lost = self.troubles.deaf;
+    pub(super) fn handle_response(&mut self, response: Response, now: Moment) -> Vec<Effect> {
+        let lost = self.faults.responses_lost;
         let outcome = |done| match (lost, done) {
             (true, _) => Outcome::Unknown,
             (false, true) => Outcome::Done,
             (false, false) => Outcome::Refused,
         };
-        match news {
-            News::Ran(request, false) | News::Finished(request) => {
+        match response {
+            Response::Ran(request, false) | Response::Finished(request) => {
                 self.machine.finished(&request, now);
             }
-            News::Loaded(variant, done) => self.machine.loaded(&variant, outcome(done), now),
-            News::Unloaded(variant, done) => {
+            Response::Loaded(variant, done) => self.machine.loaded(&variant, outcome(done), now),
+            Response::Unloaded(variant, done) => {
                 let outcome = outcome(done);
                 self.machine.unloaded(&variant, outcome, now);
-                if !self.checks_tokens && outcome != Outcome::Unknown && self.off != Off::Intent {
-                    return self.acts(vec![Action::Settle(variant)]);
+                if !self.checks_tokens
+                    && outcome != Outcome::Unknown
+                    && self.disabled != Disabled::Intent
+                {
+                    return self.effects(vec![Action::Settle(variant)]);
                 }
             }
-            News::Shown(token, incarnation, true) if !lost => {
+            Response::Fenced(token, incarnation, true) if !lost => {
                 self.tenure.shown(token, incarnation);
             }
-            // A run that began goes on until the engine finishes it, and so does one without an
-            // answer, for all that is known.
-            News::Ran(_, true) | News::Shown(..) => {}
+            // A started run is tracked until the engine finishes it. A run whose response was lost
+            // may have started, so it is tracked too.
+            Response::Ran(_, true) | Response::Fenced(..) => {}
         }
         Vec::new()
     }
 
-    fn acts(&mut self, actions: Vec<Action>) -> Vec<Act> {
+    fn effects(&mut self, actions: Vec<Action>) -> Vec<Effect> {
         let token = self.holds.token(&endpoint()).unwrap_or_default();
         let life = self.life().clone();
-        let act = |action| match action {
+        let effect = |action| match action {
             Action::Send(request) => {
                 let variant = self.machine.variant_of(&request)?;
-                Some(Act::Send(Message::Run(request, variant)))
+                Some(Effect::Send(Message::Run(request, variant)))
             }
-            Action::Refuse(request, code, _) => Some(Act::Refuse(request, code)),
-            Action::Load(variant) => Some(Act::Send(Message::Load(variant, token))),
-            Action::Unload(variant) => Some(Act::Send(Message::Unload(variant, token))),
-            Action::Announce(variant) => Some(Act::Append(Record::Intent {
+            Action::Refuse(request, code, _) => Some(Effect::Refuse(request, code)),
+            Action::Load(variant) => Some(Effect::Send(Message::Load(variant, token))),
+            Action::Unload(variant) => Some(Effect::Send(Message::Unload(variant, token))),
+            Action::Announce(variant) => Some(Effect::Append(Record::Intent {
                 endpoint: endpoint(),
                 life: life.clone(),
                 token,
                 variant,
             })),
-            Action::Settle(variant) => Some(Act::Append(Record::Outcome {
+            Action::Settle(variant) => Some(Effect::Append(Record::Outcome {
                 endpoint: endpoint(),
                 life: life.clone(),
                 variant,
             })),
         };
-        actions.into_iter().filter_map(act).collect()
+        actions.into_iter().filter_map(effect).collect()
     }
 }
--- a/crates/ploverwick_scenario/src/owners/describe.rs
+++ b/crates/ploverwick_scenario/src/owners/describe.rs
@@ -1,4 +1,4 @@
-//! Words for what happens, as scripts show it.
+//! Descriptions of records and messages, as printed in the output of scripts.
 
 use ploverwick_owner::record::Record;
 
--- a/crates/ploverwick_scenario/src/owners/engine.rs
+++ b/crates/ploverwick_scenario/src/owners/engine.rs
@@ -5,15 +5,15 @@
 use ploverwick_names::{Incarnation, Life, Request, Token, Variant};
 use ploverwick_owner::endpoint::{Found, Report};
 
-const BATCH: u32 = 8;
+const MAX_BATCH_REQUESTS: u32 = 8;
 
-/// A fake engine: slots, runs, and what it was told.
+/// A fake engine, which records unloads of adapters that are in use.
 #[derive(Debug)]
 pub(super) struct Engine {
     checks_tokens: bool,
     slots: u32,
     incarnation: Incarnation,
-    newest: Token,
+    newest_token: Token,
     loaded: BTreeSet<Variant>,
     runs: BTreeMap<Request, (Variant, Life)>,
     unloaded_in_use: Vec<Variant>,
@@ -25,7 +25,7 @@
             checks_tokens,
             slots,
             incarnation: Incarnation(1),
-            newest: Token(0),
+            newest_token: Token(0),
             loaded: BTreeSet::new(),
             runs: BTreeMap::new(),
             unloaded_in_use: Vec::new(),
@@ -38,7 +38,7 @@
 
     pub(super) fn restart(&mut self) {
         self.incarnation.0 += 1;
-        self.newest = Token(0);
+        self.newest_token = Token(0);
         self.loaded.clear();
         self.runs.clear();
     }
@@ -47,8 +47,8 @@
         if !self.checks_tokens {
             return true;
         }
-        let passes = token >= self.newest;
-        self.newest = self.newest.max(token);
+        let passes = token >= self.newest_token;
+        self.newest_token = self.newest_token.max(token);
         passes
     }
 
@@ -92,8 +92,8 @@
         self.runs.remove(request).map(|(_, life)| life)
     }
 
-    /// Cancels the runs of a life whose connections broke.
-    pub(super) fn drop_runs_of(&mut self, life: &Life) {
+    /// Cancels the runs of a killed process, whose connections are broken.
+    pub(super) fn cancel_runs_of(&mut self, life: &Life) {
         self.runs.retain(|_, (_, from)| from != life);
     }
 
@@ -117,7 +117,7 @@
         Report {
             incarnation: self.incarnation,
             slots: self.slots,
-            batch: BATCH,
+            batch: MAX_BATCH_REQUESTS,
             used: used.collect(),
         }
     }
--- a/crates/ploverwick_scenario/src/script.rs
+++ b/crates/ploverwick_scenario/src/script.rs
@@ -1,149 +1,150 @@
-//! The commands of scripted scenarios. The syntax is that of the `datadriven` library.
+//! The commands of scripted scenarios, which use the file format of the `datadriven` crate.
 
 use std::time::Duration;
 
 use crate::{claims, owners, table};
 
-/// A command's name and its arguments, as the library gives them.
+/// A parsed command line of a script.
 #[derive(Debug, Clone, Default)]
-pub struct Call {
+pub struct Command {
     /// The command's name.
     pub name: String,
-    /// The arguments without a value, in order.
-    pub words: Vec<String>,
+    /// The arguments, in order.
+    pub arguments: Vec<String>,
 }
 
-impl Call {
-    fn word(&self, index: usize) -> &str {
-        self.words.get(index).map_or("", String::as_str)
+impl Command {
+    fn argument(&self, index: usize) -> &str {
+        self.arguments.get(index).map_or("", String::as_str)
     }
 
     fn number(&self, index: usize) -> u64 {
-        self.word(index).parse().unwrap_or_default()
+        self.argument(index).parse().unwrap_or_default()
     }
 
-    /// Reads a daemon such as `d2`, an entry such as `e2` or a scribe such as `s2` as 1.
-    fn place(&self, index: usize) -> usize {
-        let digits = self.word(index).trim_start_matches(char::is_alphabetic);
+    /// Parses a one-based name of a daemon, entry instance or scribe into an index: `d2`, `e2` and
+    /// `s2` give 1.
+    fn parse_index(&self, index: usize) -> usize {
+        let digits = self.argument(index).trim_start_matches(char::is_alphabetic);
         digits.parse::<usize>().unwrap_or(1).saturating_sub(1)
     }
 
-    fn on(&self, index: usize) -> bool {
-        self.word(index) != "off"
+    fn is_on(&self, index: usize) -> bool {
+        self.argument(index) != "off"
     }
 }
 
-/// Runs a command in a world of ownership; `setup ENGINE DAEMONS SLOTS` makes the world.
-pub fn owners(world: &mut Option<owners::World>, call: &Call) -> String {
-    if call.name == "setup" {
-        *world = Some(owners::World::new(owners::Plan {
-            daemons: usize::try_from(call.number(1)).unwrap_or(1),
-            checks_tokens: call.word(0) == "checked",
-            slots: u32::try_from(call.number(2)).unwrap_or(1),
-            off: owners::Off::Nothing,
+/// Runs a command of the ownership simulation, which `setup ENGINE DAEMONS SLOTS` creates.
+pub fn owners(simulation: &mut Option<owners::Simulation>, command: &Command) -> String {
+    if command.name == "setup" {
+        *simulation = Some(owners::Simulation::new(owners::Setup {
+            daemons: usize::try_from(command.number(1)).unwrap_or(1),
+            checks_tokens: command.argument(0) == "checked",
+            slots: u32::try_from(command.number(2)).unwrap_or(1),
+            disabled: owners::Disabled::Nothing,
         }));
         return String::new();
     }
-    let Some(world) = world else {
-        return "there is no setup\n".to_owned();
+    let Some(simulation) = simulation else {
+        return "missing `setup` command\n".to_owned();
     };
-    let first = call.place(0);
-    match call.name.as_str() {
-        "want" => world.want(first),
-        "tick" => world.tick(call.number(0)),
-        "turn" => world.turn(first),
-        "submit" => world.submit(first, call.word(1), call.word(2)),
-        "finish" => world.finish(call.word(0)),
-        "pause" => world.set_paused(first, call.on(1)),
-        "hold" => world.set_held(first, call.on(1)),
-        "cut" => world.set_cut(first, call.on(1)),
-        "deaf" => world.set_deaf(first, call.on(1)),
-        "silent" => world.set_silent(first, call.on(1)),
-        "log-out" => world.set_log_out(call.on(0)),
-        "lose-appends" => world.lose_appends(u32::try_from(call.number(0)).unwrap_or(1)),
-        "kill" => world.kill(first),
-        "deliver-dead" => world.deliver_dead(),
-        "restart-engine" => world.restart_engine(),
+    let first = command.parse_index(0);
+    match command.name.as_str() {
+        "want" => simulation.set_desired_owner(first),
+        "tick" => simulation.tick(command.number(0)),
+        "turn" => simulation.turn(first),
+        "submit" => simulation.submit(first, command.argument(1), command.argument(2)),
+        "finish" => simulation.finish(command.argument(0)),
+        "pause" => simulation.set_paused(first, command.is_on(1)),
+        "hold" => simulation.set_held(first, command.is_on(1)),
+        "cut" => simulation.set_log_partitioned(first, command.is_on(1)),
+        "deaf" => simulation.set_responses_lost(first, command.is_on(1)),
+        "silent" => simulation.set_silent(first, command.is_on(1)),
+        "log-out" => simulation.set_log_unavailable(command.is_on(0)),
+        "lose-appends" => simulation.lose_appends(u32::try_from(command.number(0)).unwrap_or(1)),
+        "kill" => simulation.kill(first),
+        "deliver-dead" => simulation.deliver_killed(),
+        "restart-engine" => simulation.restart_engine(),
         "show" => {
             return format!(
                 "{}\nbroken: {}\n",
-                world.describe(),
-                world.violations().len()
+                simulation.describe(),
+                simulation.violations().len()
             );
         }
         other => return format!("unknown command {other}\n"),
     }
-    lines(world.take_events())
+    lines(simulation.take_events())
 }
 
-/// Runs a command in a world of claims; `setup SCRIBES` makes the world.
-pub fn claims(world: &mut Option<claims::World>, call: &Call) -> String {
-    if call.name == "setup" {
-        let scribes = usize::try_from(call.number(0)).unwrap_or(1);
-        *world = Some(claims::World::new(scribes, claims::Off::Nothing));
+/// Runs a command of the claims simulation, which `setup SCRIBES` creates.
+pub fn claims(simulation: &mut Option<claims::Simulation>, command: &Command) -> String {
+    if command.name == "setup" {
+        let scribes = usize::try_from(command.number(0)).unwrap_or(1);
+        *simulation = Some(claims::Simulation::new(scribes, claims::Disabled::Nothing));
         return String::new();
     }
-    let Some(world) = world else {
-        return "there is no setup\n".to_owned();
+    let Some(simulation) = simulation else {
+        return "missing `setup` command\n".to_owned();
     };
-    match call.name.as_str() {
+    match command.name.as_str() {
         "ask" => {
-            let age = Duration::from_secs(call.number(4));
-            world.ask(
-                call.place(0) + 1,
-                call.word(1),
-                call.word(2),
-                call.place(3),
+            let age = Duration::from_secs(command.number(4));
+            simulation.ask(
+                command.parse_index(0) + 1,
+                command.argument(1),
+                command.argument(2),
+                command.parse_index(3),
                 age,
             );
         }
         "append" => {
-            let fate = match call.word(1) {
-                "answer-lost" => claims::Fate::AnswerLost,
-                "refused" => claims::Fate::Refused,
-                "vanished" => claims::Fate::Vanished,
-                _ => claims::Fate::Confirmed,
+            let outcome = match command.argument(1) {
+                "answer-lost" => claims::AppendOutcome::AnswerLost,
+                "refused" => claims::AppendOutcome::Refused,
+                "vanished" => claims::AppendOutcome::Vanished,
+                _ => claims::AppendOutcome::Confirmed,
             };
-            world.append(call.place(0), fate);
+            simulation.append(command.parse_index(0), outcome);
         }
-        "read" => world.read(call.place(0), usize::MAX >> 1),
-        "forfeit" => world.forfeit(call.word(0), call.place(1)),
-        "restart-scribe" => world.restart_scribe(call.place(0)),
-        "kill-entry" => world.kill_entry(call.place(0) + 1),
-        "tick" => world.tick(call.number(0)),
-        "show" => return format!("broken: {}\n", world.violations().len()),
+        "read" => simulation.read(command.parse_index(0), usize::MAX >> 1),
+        "forfeit" => simulation.forfeit(command.argument(0), command.parse_index(1)),
+        "restart-scribe" => simulation.restart_scribe(command.parse_index(0)),
+        "kill-entry" => simulation.kill_entry(command.parse_index(0) + 1),
+        "tick" => simulation.tick(command.number(0)),
+        "show" => return format!("broken: {}\n", simulation.violations().len()),
         other => return format!("unknown command {other}\n"),
     }
-    lines(world.take_events())
+    lines(simulation.take_events())
 }
 
-/// Runs a command in a world of the table; `setup READERS` makes the world.
-pub fn table(world: &mut Option<table::World>, call: &Call) -> String {
-    if call.name == "setup" {
-        let readers = usize::try_from(call.number(0)).unwrap_or(1);
-        *world = Some(table::World::new(readers, table::Off::Nothing));
+/// Runs a command of the table simulation, which `setup READERS` creates.
+pub fn table(simulation: &mut Option<table::Simulation>, command: &Command) -> String {
+    if command.name == "setup" {
+        let readers = usize::try_from(command.number(0)).unwrap_or(1);
+        *simulation = Some(table::Simulation::new(readers, table::Disabled::Nothing));
         return String::new();
     }
-    let Some(world) = world else {
-        return "there is no setup\n".to_owned();
+    let Some(simulation) = simulation else {
+        return "missing `setup` command\n".to_owned();
     };
-    match call.name.as_str() {
+    match command.name.as_str() {
         "publish" => {
-            let weight = u32::try_from(call.number(2)).unwrap_or(1);
-            world.publish(call.number(0), call.word(1), weight);
+            let weight = u32::try_from(command.number(2)).unwrap_or(1);
+            simulation.publish(command.number(0), command.argument(1), weight);
         }
         "snapshot" => {
-            world.snapshot(call.place(0));
+            simulation.snapshot(command.parse_index(0));
         }
-        "forget" => world.forget(call.number(0)),
-        "read" => world.read(call.place(0), usize::MAX >> 1),
-        "fetch" => world.fetch(call.place(0), call.place(1)),
-        "restart" => world.restart(call.place(0)),
-        "show" => return world.show(call.place(0)),
-        "broken" => return format!("broken: {}\n", world.violations().len()),
+        "forget" => simulation.forget(command.number(0)),
+        "read" => simulation.read(command.parse_index(0), usize::MAX >> 1),
+        "fetch" => simulation.fetch(command.parse_index(0), command.parse_index(1)),
+        "restart" => simulation.restart(command.parse_index(0)),
+        "show" => return simulation.show(command.parse_index(0)),
+        "broken" => return format!("broken: {}\n", simulation.violations().len()),
         other => return format!("unknown command {other}\n"),
     }
-    lines(world.take_events())
+    lines(simulation.take_events())
 }
 
 fn lines(events: Vec<String>) -> String {
--- a/crates/ploverwick_scenario/src/table.rs
+++ b/crates/ploverwick_scenario/src/table.rs
@@ -1,4 +1,4 @@
-//! Daemons that follow the table's stream, and operators that publish.
+//! Simulates daemons that replay the table stream while operators publish patches.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
 use ploverwick_table::patch::{Cell, Change, Edit};
 use ploverwick_table::{Column, Subject, parse};
 
-/// A mechanism that is switched off, to show that the checks notice.
+/// A mechanism to disable, to prove that the invariant checks detect its absence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Off {
-    /// Nothing is off.
+pub enum Disabled {
+    /// All mechanisms are enabled.
     #[default]
     Nothing,
-    /// Readers go on after lost records as if there had been none.
+    /// Readers ignore gaps and continue as if no records were missing.
     Gap,
 }
 
-/// The world: a stream that forgets its start, and readers.
+/// A simulation of the table stream, whose oldest records expire, and its readers.
 #[derive(Debug)]
-pub struct World {
-    off: Off,
+pub struct Simulation {
+    disabled: Disabled,
     log: BTreeMap<u64, Record>,
     next: u64,
     start: u64,
@@ -36,11 +36,11 @@
     newest: Offset,
 }
 
-impl World {
-    /// Starts a world with some readers and an empty stream.
-    pub fn new(readers: usize, off: Off) -> Self {
+impl Simulation {
+    /// Creates a simulation with the given number of readers and an empty stream.
+    pub fn new(readers: usize, disabled: Disabled) -> Self {
         Self {
-            off,
+            disabled,
             log: BTreeMap::new(),
             next: 1,
             start: 1,
@@ -51,17 +51,17 @@
         }
     }
 
-    /// Returns the promises broken so far.
+    /// Returns the invariant violations found so far.
     pub fn violations(&self) -> &[String] {
         &self.violations
     }
 
-    /// Takes the events since the last call.
+    /// Returns and clears the events recorded since the last call.
     pub fn take_events(&mut self) -> Vec<String> {
         std::mem::take(&mut self.events)
     }
 
-    /// Appends a publication that sets a weight, edited from `base`.
+    /// Appends a patch that is based on version `base` and sets the weight of a row.
     pub fn publish(&mut self, base: u64, row: &str, weight: u32) -> u64 {
         let (Ok(subject), Ok(column)) = (row.parse::<Subject>(), "weight".parse::<Column>()) else {
             return 0;
@@ -83,7 +83,7 @@
         self.append(Record::Patch(patch))
     }
 
-    /// Has a reader append a snapshot.
+    /// Lets a reader append a snapshot, unless it has a gap or has accepted no patch.
     pub fn snapshot(&mut self, reader: usize) -> u64 {
         let history = &self.readers[reader].history;
         if history.has_gap() || history.version() == Offset(0) {
@@ -105,7 +105,7 @@
         offset
     }
 
-    /// Has the log forget everything before `start`.
+    /// Expires all records before `start` from the log.
     pub fn forget(&mut self, start: u64) {
         self.start = self.start.max(start.min(self.next));
         self.log = self.log.split_off(&self.start);
@@ -113,7 +113,7 @@
             .push(format!("the log starts at {}", self.start));
     }
 
-    /// Has a reader read up to `count` records.
+    /// Lets a reader read up to `count` records.
     pub fn read(&mut self, reader: usize, count: usize) {
         let from = self.readers[reader].history.next().0;
         let records: Vec<(u64, Record)> = self
@@ -123,8 +123,8 @@
             .map(|(offset, record)| (*offset, record.clone()))
             .collect();
         for (offset, record) in records {
-            if self.off == Off::Gap {
-                self.pass_over_gap(reader, offset);
+            if self.disabled == Disabled::Gap {
+                self.skip_gap(reader, offset);
             }
             let verdict = self.readers[reader].history.apply(Offset(offset), &record);
             self.events
@@ -133,11 +133,11 @@
                 self.violations
                     .push(format!("reader {reader} diverged at {offset}"));
             }
-            self.check(reader);
+            self.check_invariants(reader);
         }
     }
 
-    fn pass_over_gap(&mut self, reader: usize, offset: u64) {
+    fn skip_gap(&mut self, reader: usize, offset: u64) {
         let history = &mut self.readers[reader].history;
         if offset > history.next().0 {
             let mut snapshot = history.snapshot();
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Has a reader ask another for a newer table.
+    /// Lets a reader fetch a snapshot from another reader.
     pub fn fetch(&mut self, reader: usize, peer: usize) {
         if self.readers[peer].history.has_gap() {
             return;
@@ -157,16 +157,16 @@
             "reader {reader} asks {peer}: {}",
             describe(&verdict)
         ));
-        self.check(reader);
+        self.check_invariants(reader);
     }
 
-    /// Replaces a reader by one that knows nothing, as a restart does.
+    /// Restarts a reader, which loses its state.
     pub fn restart(&mut self, reader: usize) {
         self.events.push(format!("reader {reader} restarts"));
         self.readers[reader] = Reader::default();
     }
 
-    /// Shows a reader's version and table.
+    /// Returns a reader's version and table as text.
     pub fn show(&self, reader: usize) -> String {
         let history = &self.readers[reader].history;
         let gap = if history.has_gap() { " (gap)" } else { "" };
@@ -174,18 +174,18 @@
         format!("version {}{gap}\n{csv}", history.version())
     }
 
-    fn check(&mut self, reader: usize) {
+    fn check_invariants(&mut self, reader: usize) {
         let version = self.readers[reader].history.version();
         if version < self.readers[reader].newest {
-            let what = format!("reader {reader} went back to {version}");
+            let what = format!("reader {reader} reverted to version {version}");
             self.violations.push(what);
         }
         self.readers[reader].newest = version;
-        self.compare(reader);
+        self.compare_readers(reader);
     }
 
-    /// Two readers that have read equally far without a gap have the same table in force.
-    fn compare(&mut self, reader: usize) {
+    /// Checks that readers without a gap at the same offset have the same version and table.
+    fn compare_readers(&mut self, reader: usize) {
         let mine = &self.readers[reader].history;
         if mine.has_gap() {
             return;
--- a/crates/ploverwick_scenario/tests/claims_scripts.rs
+++ b/crates/ploverwick_scenario/tests/claims_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios in `tests/claims`.
+//! Runs the scripted scenarios in `tests/claims`.
 
 mod common;
 
--- a/crates/ploverwick_scenario/tests/histories.rs
+++ b/crates/ploverwick_scenario/tests/histories.rs
@@ -1,16 +1,17 @@
-//! Generated histories break no promise, and each mechanism that is switched off is noticed.
+//! Randomly generated histories violate no invariant, and disabling any single mechanism leads to a
+//! detected violation.
 
 use googletest::prelude::*;
-use ploverwick_scenario::explore::{self, Explored};
+use ploverwick_scenario::explore::{self, Exploration};
 use ploverwick_scenario::{claims, owners, table};
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestRunner};
 
 const CASES: u32 = 400;
 const STEPS: u64 = 200;
-/// How many histories a switched-off mechanism may survive.
-const HISTORIES: u64 = 3000;
+/// The number of histories within which disabling a mechanism must lead to a violation.
+const MAX_HISTORIES: u64 = 3000;
 
-fn holds(explore: impl Fn(u64) -> Explored) {
+fn assert_no_violations(explore: impl Fn(u64) -> Exploration) {
     let config = Config {
         cases: CASES,
         rng_seed: RngSeed::Fixed(1),
@@ -18,11 +19,11 @@
         ..Config::default()
     };
     let outcome = TestRunner::new(config).run(&proptest::num::u64::ANY, |seed| {
-        let explored = explore(seed);
-        if explored.violations.is_empty() {
+        let exploration = explore(seed);
+        if exploration.violations.is_empty() {
             return Ok(());
         }
-        let events = explored.events.join("\n");
+        let events = exploration.events.join("\n");
         Err(TestCaseError::fail(format!("seed {seed}\n{events}")))
     });
     if let Err(failure) = outcome {
@@ -30,93 +31,93 @@
     }
 }
 
-fn is_noticed(explore: impl Fn(u64) -> Explored) -> bool {
-    (1..=HISTORIES).any(|seed| !explore(seed).violations.is_empty())
+fn finds_violation(explore: impl Fn(u64) -> Exploration) -> bool {
+    (1..=MAX_HISTORIES).any(|seed| !explore(seed).violations.is_empty())
 }
 
 #[test]
-fn owners_hold() {
-    holds(|seed| explore::owners(seed, STEPS, owners::Off::Nothing));
+fn ownership_invariants_hold() {
+    assert_no_violations(|seed| explore::owners(seed, STEPS, owners::Disabled::Nothing));
 }
 
 #[test]
-fn claims_hold() {
-    holds(|seed| explore::claims(seed, STEPS, claims::Off::Nothing));
+fn claim_invariants_hold() {
+    assert_no_violations(|seed| explore::claims(seed, STEPS, claims::Disabled::Nothing));
 }
 
 #[test]
-fn tables_hold() {
-    holds(|seed| explore::table(seed, STEPS, table::Off::Nothing));
+fn table_invariants_hold() {
+    assert_no_violations(|seed| explore::table(seed, STEPS, table::Disabled::Nothing));
 }
 
 #[gtest]
-fn fence_needed() {
-    expect_true!(is_noticed(|seed| explore::owners(
+fn disabled_fencing_is_detected() {
+    expect_true!(finds_violation(|seed| explore::owners(
         seed,
         STEPS,
-        owners::Off::Fence
+        owners::Disabled::Fence
     )));
 }
 
 #[gtest]
-fn intent_needed() {
-    expect_true!(is_noticed(|seed| explore::owners(
+fn missing_unload_intents_are_detected() {
+    expect_true!(finds_violation(|seed| explore::owners(
         seed,
         STEPS,
-        owners::Off::Intent
+        owners::Disabled::Intent
     )));
 }
 
 #[gtest]
-fn doubt_needed() {
-    expect_true!(is_noticed(|seed| explore::owners(
+fn ignored_unload_intents_are_detected() {
+    expect_true!(finds_violation(|seed| explore::owners(
         seed,
         STEPS,
-        owners::Off::Doubt
+        owners::Disabled::Doubt
     )));
 }
 
 #[gtest]
-fn settling_needed() {
-    expect_true!(is_noticed(|seed| explore::owners(
+fn unload_before_settling_is_detected() {
+    expect_true!(finds_violation(|seed| explore::owners(
         seed,
         STEPS,
-        owners::Off::Settle
+        owners::Disabled::Settle
     )));
 }
 
 #[gtest]
-fn claim_needed() {
-    expect_true!(is_noticed(|seed| explore::claims(
+fn run_without_claim_is_detected() {
+    expect_true!(finds_violation(|seed| explore::claims(
         seed,
         STEPS,
-        claims::Off::Claim
+        claims::Disabled::Claim
     )));
 }
 
 #[gtest]
-fn read_back_needed() {
-    expect_true!(is_noticed(|seed| explore::claims(
+fn claim_without_read_back_is_detected() {
+    expect_true!(finds_violation(|seed| explore::claims(
         seed,
         STEPS,
-        claims::Off::ReadBack
+        claims::Disabled::ReadBack
     )));
 }
 
 #[gtest]
-fn keeping_needed() {
-    expect_true!(is_noticed(|seed| explore::claims(
+fn key_forfeited_after_run_is_detected() {
+    expect_true!(finds_violation(|seed| explore::claims(
         seed,
         STEPS,
-        claims::Off::KeepAfterRun
+        claims::Disabled::KeepAfterRun
     )));
 }
 
 #[gtest]
-fn gap_needed() {
-    expect_true!(is_noticed(|seed| explore::table(
+fn ignored_gap_is_detected() {
+    expect_true!(finds_violation(|seed| explore::table(
         seed,
         STEPS,
-        table::Off::Gap
+        table::Disabled::Gap
     )));
 }
--- a/crates/ploverwick_scenario/tests/owners_scripts.rs
+++ b/crates/ploverwick_scenario/tests/owners_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios in `tests/owners`.
+//! Runs the scripted scenarios in `tests/owners`.
 
 mod common;
 
--- a/crates/ploverwick_scenario/tests/table_scripts.rs
+++ b/crates/ploverwick_scenario/tests/table_scripts.rs
@@ -1,4 +1,4 @@
-//! Scripted scenarios in `tests/table`.
+//! Runs the scripted scenarios in `tests/table`.
 
 mod common;
 
