--- a/crates/ploverwick_ports/tests/split_events.rs
+++ b/crates/ploverwick_ports/tests/split_events.rs
@@ -39,7 +39,7 @@
                 break;
             }
             let end = whole.len().min(at + cut);
-            if let Some(found) = splitter.push(&whole.as_bytes()[at..end]).expect("events are below the limit") {
+            if let Some(found) = splitter.push(&whole.as_bytes()[at..end]).expect("events are small") {
                 prop_assert!(found.bytes.ends_with(b"\n\n"));
                 joined.extend_from_slice(&found.bytes);
                 last = found.last_id;
