--- a/crates/ploverwick_bench/src/capacity/decisions.rs
+++ b/crates/ploverwick_bench/src/capacity/decisions.rs
@@ -10,7 +10,7 @@
 use ploverwick_names::{
     Adapter, Caller, Incarnation, Instance, Life, Moment, Offset, Request, Variant, Version,
 };
-use ploverwick_owner::endpoint::{Config, Found, Job, Machine, Report, Rights};
+use ploverwick_owner::endpoint::{Config, Job, Report, ReportedSlot, Rights, Scheduler};
 use ploverwick_placement::{Candidate, rank};
 use ploverwick_table::history::{History, Patch, Record};
 use ploverwick_table::patch::{Cell, Change, Edit};
@@ -207,15 +207,15 @@
         version: Version::new("v1").expect("the constant is a name"),
     };
     let pause = Duration::from_secs(1);
-    let mut machine = Machine::new(Config {
-        queue,
+    let mut machine = Scheduler::new(Config {
+        queue_capacity: queue,
         report_lag: pause,
         order_lag: pause,
-        patience: pause,
+        drain_after: pause,
         retry_after: pause,
-        load_pause: pause,
+        load_backoff: pause,
     });
-    let used = (0..8).map(|index| Found {
+    let used = (0..8).map(|index| ReportedSlot {
         variant: variant(1000 + index),
         ready: true,
         running: 1,
--- a/crates/ploverwick_daemon/src/controllers/members.rs
+++ b/crates/ploverwick_daemon/src/controllers/members.rs
@@ -71,7 +71,7 @@
     let ended = lock(&node.members).find_ended(&lives, now);
     for life in ended {
         node.record(Event::new(Kind::Member, format!("{life} has ended")));
-        lock(&node.holds).ended(&life, now);
+        lock(&node.holds).mark_ended(&life, now);
     }
 }
 
@@ -104,7 +104,7 @@
             }
             Action::Ended(life) => {
                 node.record(Event::new(Kind::Member, format!("{life} has ended")));
-                lock(&node.holds).ended(&life, node.now());
+                lock(&node.holds).mark_ended(&life, node.now());
             }
         }
     }
--- a/crates/ploverwick_daemon/src/controllers/owners.rs
+++ b/crates/ploverwick_daemon/src/controllers/owners.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ploverwick_names::{Endpoint, Instance, Offset};
-use ploverwick_owner::holds::{Change, Standing};
+use ploverwick_owner::ownership::{Change, Liveness};
 use ploverwick_owner::record::Record;
 use ploverwick_ports::log::Batch;
 use ploverwick_ports::roster::Listing;
@@ -85,7 +85,7 @@
             let command = Command::Announced(variant, true);
             node.owners.tell(&endpoint, command).await;
         }
-        Change::Overtaken(endpoint, variant) => {
+        Change::Superseded(endpoint, variant) => {
             let command = Command::Announced(variant, false);
             node.owners.tell(&endpoint, command).await;
         }
@@ -160,9 +160,9 @@
     let members = lock(&node.members);
     let standing = |life: &_| {
         if members.is_present(life) {
-            Standing::Present
+            Liveness::Present
         } else {
-            Standing::Gone
+            Liveness::Gone
         }
     };
     let now = node.now();
--- a/crates/ploverwick_daemon/src/daemon.rs
+++ b/crates/ploverwick_daemon/src/daemon.rs
@@ -10,7 +10,7 @@
 use ploverwick_limits::{Past, Rates};
 use ploverwick_members::Controller as Members;
 use ploverwick_names::{Incarnation, Life, Moment};
-use ploverwick_owner::holds::Controller as Holds;
+use ploverwick_owner::ownership::Controller as Holds;
 use ploverwick_ports::client::Client;
 use ploverwick_ports::log::Log;
 use ploverwick_serve::{Bounds, Server, Stopper, stop};
@@ -191,7 +191,7 @@
     // An order under way ends, the release and then the quit go to the log. Without the quit a
     // successor unloads nothing until this life is known to have ended.
     let handed_over = async {
-        while lock(&node.holds).mine().next().is_some()
+        while lock(&node.holds).owned().next().is_some()
             || any_endpoint(node, |endpoint| !endpoint.settled)
         {
             tokio::time::sleep(DRAIN_POLL).await;
@@ -248,7 +248,7 @@
     let platform = &settings.platform;
     let log = Log::new(client.clone(), platform.log, platform.timeout());
     let ownership = &settings.ownership;
-    let holds = ploverwick_owner::holds::Config {
+    let holds = ploverwick_owner::ownership::Config {
         order_lag: ownership.order_lag(),
         refresh: ownership.refresh(),
     };
--- a/crates/ploverwick_daemon/src/node.rs
+++ b/crates/ploverwick_daemon/src/node.rs
@@ -8,7 +8,7 @@
 use ploverwick_limits::{Rates, Sharers};
 use ploverwick_members::Controller as Members;
 use ploverwick_names::{Endpoint, Life, Moment, Offset, Request};
-use ploverwick_owner::holds::Controller as Holds;
+use ploverwick_owner::ownership::Controller as Holds;
 use ploverwick_ports::client::Client;
 use ploverwick_ports::log::Log;
 use ploverwick_ports::roster::Listing;
--- a/crates/ploverwick_daemon/src/owner/orders.rs
+++ b/crates/ploverwick_daemon/src/owner/orders.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Moment;
-use ploverwick_owner::endpoint::{Found, Outcome, Report};
+use ploverwick_owner::endpoint::{Outcome, Report, ReportedSlot};
 use ploverwick_ports::client::Fault;
 use ploverwick_ports::engine::{Engine, Order, SlotState};
 
@@ -31,7 +31,7 @@
     let Ok(report) = engine.report().await else {
         return Command::Reported(None, false);
     };
-    let used = report.used.into_iter().map(|slot| Found {
+    let used = report.used.into_iter().map(|slot| ReportedSlot {
         variant: slot.variant,
         ready: slot.state == SlotState::Loaded,
         running: slot.running,
--- a/crates/ploverwick_daemon/src/owner/task.rs
+++ b/crates/ploverwick_daemon/src/owner/task.rs
@@ -8,8 +8,8 @@
 
 use ploverwick_codes::Code;
 use ploverwick_names::{Model, Moment, Request, Variant};
-use ploverwick_owner::endpoint::{Config, Job, Machine, Outcome, Report, Rights};
-use ploverwick_owner::tenure::{Standing, Tenure};
+use ploverwick_owner::endpoint::{Config, Job, Outcome, Report, Rights, Scheduler};
+use ploverwick_owner::tenure::{Role, Tenure};
 use ploverwick_ports::engine::Engine;
 use ploverwick_ports::roster::{EndpointEntry, Fencing, State};
 use ploverwick_table::terms::DEFAULT_WEIGHT;
@@ -54,7 +54,7 @@
     node: Arc<Node>,
     entry: EndpointEntry,
     engine: Engine,
-    machine: Machine,
+    machine: Scheduler,
     pending: HashMap<Request, Pending>,
     own: mpsc::WeakSender<Command>,
     tenure: Tenure,
@@ -96,12 +96,12 @@
     fn new(node: Arc<Node>, entry: EndpointEntry, own: mpsc::WeakSender<Command>) -> Self {
         let settings = &node.settings;
         let config = Config {
-            queue: settings.limits.queue_per_endpoint,
+            queue_capacity: settings.limits.queue_per_endpoint,
             report_lag: settings.ownership.report_lag(),
             order_lag: settings.ownership.order_lag(),
-            patience: PATIENCE,
+            drain_after: PATIENCE,
             retry_after: RETRY_AFTER,
-            load_pause: LOAD_PAUSE,
+            load_backoff: LOAD_PAUSE,
         };
         let timeout = settings.platform.timeout();
         let engine = Engine::new(node.client.clone(), entry.address, timeout);
@@ -111,7 +111,7 @@
             node,
             entry,
             engine,
-            machine: Machine::new(config),
+            machine: Scheduler::new(config),
             pending: HashMap::new(),
             own,
             tenure: Tenure::new(checks_tokens),
@@ -182,7 +182,7 @@
     }
 
     fn is_owner(&self) -> bool {
-        self.tenure.standing() == Standing::Owner
+        self.tenure.role() == Role::Owner
     }
 
     fn submit(&mut self, order: Order, frames: mpsc::Sender<Frame>, now: Moment) {
@@ -275,12 +275,12 @@
         let machine = &mut self.machine;
         self.pending.retain(|request, pending| {
             let left = pending.frames.is_closed();
-            !(left && machine.withdraw(request))
+            !(left && machine.cancel(request))
         });
     }
 
     fn ask_report(&mut self, now: Moment) {
-        let settled = self.tenure.standing() == Standing::Settled;
+        let settled = self.tenure.role() == Role::Settled;
         if self.calls.report || settled || now < self.next_report {
             return;
         }
@@ -301,7 +301,7 @@
             self.node.record(event.endpoint(&self.entry.name));
         }
         self.leaving = leaving;
-        self.tenure.engine_is(report.incarnation);
+        self.tenure.set_engine_incarnation(report.incarnation);
         let settled = self.rights(now).unload;
         self.machine.report(report, settled, now);
     }
@@ -341,7 +341,7 @@
         let status = OwnedEndpoint {
             endpoint: self.entry.name.clone(),
             owned: self.is_owner(),
-            settled: self.tenure.standing() == Standing::Settled,
+            settled: self.tenure.role() == Role::Settled,
             token: lock(&self.node.holds)
                 .token(&self.entry.name)
                 .unwrap_or_default(),
--- a/crates/ploverwick_daemon/src/owner/task/acts.rs
+++ b/crates/ploverwick_daemon/src/owner/task/acts.rs
@@ -35,7 +35,7 @@
             Action::Load(variant) => self.load(variant),
             Action::Announce(variant) => self.announce(variant),
             Action::Unload(variant) => self.unload(variant),
-            Action::Settle(variant) => self.settle(variant),
+            Action::LogOutcome(variant) => self.settle(variant),
         }
     }
 
@@ -139,7 +139,7 @@
 
     /// Says that the endpoint may be released, once no unload can strike any more.
     pub(super) fn answer_closing(&mut self) {
-        if !self.closing.is_empty() && !self.machine.has_unloads() {
+        if !self.closing.is_empty() && !self.machine.has_pending_unloads() {
             for closed in self.closing.drain(..) {
                 let _ = closed.send(());
             }
@@ -150,7 +150,7 @@
     pub(super) fn quit(&mut self) {
         let owner = lock(&self.node.holds).owner(&self.entry.name).cloned();
         let released = owner.is_none_or(|owner| owner != self.node.life);
-        if !self.tenure.quits(self.machine.is_quiet(), released) {
+        if !self.tenure.try_settle(self.machine.is_idle(), released) {
             return;
         }
         let record = Record::Quit {
--- a/crates/ploverwick_owner/src/endpoint.rs
+++ b/crates/ploverwick_owner/src/endpoint.rs
@@ -1,8 +1,8 @@
-//! The queue, the adapter slots and the dispatch of one endpoint, at its owner.
+//! The request queue, the adapter slots and the dispatch of one endpoint, run by its owner.
 //!
-//! The owner sees every request that it sends, so it knows which adapters are in use without
-//! asking. Adapters found at a take-over count as in use until a report that is late enough shows
-//! them idle.
+//! The owner sends every request itself, so it knows which adapters are in use without asking the
+//! engine. Adapters found loaded at a takeover count as in use until a sufficiently recent report
+//! shows them idle.
 
 mod queue;
 mod slots;
@@ -16,62 +16,62 @@
 pub use queue::Job;
 use queue::Queue;
 use slots::Slots;
-pub use slots::{Found, State};
+pub use slots::{ReportedSlot, State};
 
-/// How many times in a row a load may fail before the requests waiting for it are refused.
-const LOAD_TRIES: u32 = 2;
+/// Consecutive load failures after which the requests waiting for an adapter are refused.
+const MAX_LOAD_ATTEMPTS: u32 = 2;
 
-/// The spans and bounds of an endpoint's decisions.
+/// Limits and delays of an endpoint's scheduler.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// The most requests waiting.
-    pub queue: usize,
-    /// How old a report may be when it comes.
+    /// The maximum number of queued requests.
+    pub queue_capacity: usize,
+    /// The maximum age of a report on arrival.
     pub report_lag: Duration,
-    /// How long an order may still arrive after its answer was lost.
+    /// How long an order may still take effect after its response was lost.
     pub order_lag: Duration,
-    /// How long a request may wait for a slot before a busy adapter is made to yield.
-    pub patience: Duration,
-    /// The hint given with a refusal.
+    /// How long a request waits for a slot before a busy adapter is drained for it.
+    pub drain_after: Duration,
+    /// The retry hint sent with a refusal.
     pub retry_after: Duration,
-    /// How long a failed load is not tried again.
-    pub load_pause: Duration,
+    /// The delay before a failed load or a refused unload is retried.
+    pub load_backoff: Duration,
 }
 
-/// What an engine's report says.
+/// A status report of an engine.
 #[derive(Debug, Clone)]
 pub struct Report {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
     /// The number of adapter slots.
     pub slots: u32,
-    /// The most requests computed in one step.
+    /// The maximum number of requests in a batch.
     pub batch: u32,
-    /// The slots in use.
-    pub used: Vec<Found>,
+    /// The occupied slots.
+    pub used: Vec<ReportedSlot>,
 }
 
-/// What the owner may do in this step.
+/// What the owner is permitted to do in a step.
 #[derive(Debug, Clone, Default)]
 pub struct Rights {
     /// Whether requests and loads may be sent.
     pub send: bool,
     /// Whether adapters may be unloaded.
     pub unload: bool,
-    /// Whether an unload has to be announced in the log first.
+    /// Whether an unload must be announced in the log first.
     pub announce: bool,
-    /// Adapters on which an earlier owner's unload may still strike.
-    pub doubtful: BTreeSet<Variant>,
-    /// How many loads the store's budget allows now.
+    /// Adapters that an earlier owner's unload order may still remove.
+    pub pending_unloads: BTreeSet<Variant>,
+    /// The number of loads that the store's budget allows now.
     pub loads: u32,
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send the request to the endpoint.
     Send(Request),
-    /// Refuse the request, which was never sent.
+    /// Refuse the request, which was never sent, with an optional retry hint.
     Refuse(Request, Code, Option<Duration>),
     /// Order the adapter to be loaded.
     Load(Variant),
@@ -79,42 +79,42 @@
     Announce(Variant),
     /// Order the adapter to be unloaded.
     Unload(Variant),
-    /// Write to the log that an announced unload was done or given up.
-    Settle(Variant),
+    /// Record in the log that an announced unload was done or abandoned.
+    LogOutcome(Variant),
 }
 
-/// How an order ended.
+/// The result of an order to the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The engine followed it.
+    /// The engine executed it.
     Done,
-    /// The engine did not follow it, and will not.
+    /// The engine did not execute it, and never will.
     Refused,
-    /// The answer is missing; the order may still arrive.
+    /// The response was lost; the order may still take effect.
     Unknown,
 }
 
-/// The decisions of one endpoint's owner.
+/// Schedules the requests and adapter slots of one endpoint.
 #[derive(Debug)]
-pub struct Machine {
+pub struct Scheduler {
     config: Config,
     queue: Queue,
     slots: Slots,
     running: BTreeMap<Request, Variant>,
     failures: BTreeMap<Variant, Failure>,
     closed: bool,
-    /// An unload that was refused is not tried again before this.
-    unloads_from: Moment,
+    /// No unload is started before this time. Set after the engine refuses one.
+    next_unload_at: Moment,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Failure {
-    times: u32,
-    until: Moment,
+    count: u32,
+    retry_at: Moment,
 }
 
-impl Machine {
-    /// Starts with nothing known of the endpoint.
+impl Scheduler {
+    /// Creates a scheduler with no knowledge of the endpoint's state.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -123,16 +123,16 @@
             running: BTreeMap::new(),
             failures: BTreeMap::new(),
             closed: false,
-            unloads_from: Moment::default(),
+            next_unload_at: Moment::default(),
         }
     }
 
-    /// Takes a request in; it is refused at the next step if the queue is full or closed.
+    /// Queues a request, or returns its refusal if the queue is full or closed.
     pub fn submit(&mut self, job: Job) -> Option<Action> {
         if self.closed {
             return Some(Action::Refuse(job.request, Code::NotOwner, None));
         }
-        if self.queue.len() >= self.config.queue {
+        if self.queue.len() >= self.config.queue_capacity {
             let hint = Some(self.config.retry_after);
             return Some(Action::Refuse(job.request, Code::Overloaded, hint));
         }
@@ -140,64 +140,64 @@
         None
     }
 
-    /// Takes a waiting request out; returns whether it was waiting.
-    pub fn withdraw(&mut self, request: &Request) -> bool {
+    /// Removes a waiting request; returns whether it was queued.
+    pub fn cancel(&mut self, request: &Request) -> bool {
         self.queue.remove(request)
     }
 
-    /// Says that a sent request is over.
+    /// Handles the end of a request that was sent.
     pub fn finished(&mut self, request: &Request, now: Moment) {
         if let Some(variant) = self.running.remove(request) {
             self.slots.release(&variant, now);
         }
     }
 
-    /// Stops taking requests; those that wait are refused at the next step.
+    /// Stops accepting requests; queued ones are refused at the next step.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Takes requests again.
+    /// Accepts requests again.
     pub fn open(&mut self) {
         self.closed = false;
     }
 
-    /// Says whether nothing that was sent is still running or under way.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether no request is running and no order is in flight or of unknown outcome.
+    pub fn is_idle(&self) -> bool {
         self.running.is_empty() && !self.slots.has_orders()
     }
 
-    /// Says whether an unload is announced, under way, or of unknown outcome.
-    pub fn has_unloads(&self) -> bool {
-        self.slots.has_unloads()
+    /// Returns whether an unload is announced, in flight or of unknown outcome.
+    pub fn has_pending_unloads(&self) -> bool {
+        self.slots.has_pending_unloads()
     }
 
-    /// Returns the number of requests waiting.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns the number of requests sent and not over.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns what a sent request runs on.
+    /// Returns the adapter version on which a sent request runs.
     pub fn variant_of(&self, request: &Request) -> Option<Variant> {
         self.running.get(request).cloned()
     }
 
-    /// Lists the slots in use with their states and running requests.
+    /// Lists the occupied slots with their states and the number of running requests.
     pub fn slots(&self) -> impl Iterator<Item = (&Variant, State, u32)> {
         self.slots.list()
     }
 
-    /// Returns the most requests computed in one step, 0 before the first report.
+    /// Returns the engine's maximum batch size, 0 before the first report.
     pub fn batch(&self) -> u32 {
         self.slots.batch()
     }
 
-    /// Takes the engine's report into account. `settled` says whether no earlier owner can still
+    /// Updates the slots from an engine report. `settled` tells whether no earlier owner can still
     /// be using the endpoint.
     pub fn report(&mut self, report: &Report, settled: bool, now: Moment) {
         let lags = slots::Lags {
@@ -207,7 +207,7 @@
         self.slots.report(report, settled, lags, now);
     }
 
-    /// Says how a load order ended.
+    /// Handles the result of a load order.
     pub fn loaded(&mut self, variant: &Variant, outcome: Outcome, now: Moment) {
         self.slots.loaded(variant, outcome, now);
         if outcome == Outcome::Done {
@@ -215,14 +215,15 @@
             return;
         }
         let failure = self.failures.entry(variant.clone()).or_insert(Failure {
-            times: 0,
-            until: now,
+            count: 0,
+            retry_at: now,
         });
-        failure.times += 1;
-        failure.until = now + self.config.load_pause;
+        failure.count += 1;
+        failure.retry_at = now + self.config.load_backoff;
     }
 
-    /// Says that an announcement stands in the log, or was overtaken by another's claim.
+    /// Handles the outcome of an announcement: `valid` if it is in the log and this owner's claim
+    /// was not superseded before it.
     pub fn announced(
         &mut self,
         variant: &Variant,
@@ -238,19 +239,19 @@
             return Some(Action::Unload(variant.clone()));
         }
         self.slots.restore(variant, now);
-        Some(Action::Settle(variant.clone()))
+        Some(Action::LogOutcome(variant.clone()))
     }
 
-    /// Says how an unload order ended.
+    /// Handles the result of an unload order.
     pub fn unloaded(&mut self, variant: &Variant, outcome: Outcome, now: Moment) {
         self.slots.unloaded(variant, outcome, now);
         if outcome == Outcome::Refused {
-            // The engine has seen a newer token, or the right to unload has just passed.
-            self.unloads_from = now + self.config.load_pause;
+            // The engine has seen a newer token, or the permission to unload has just expired.
+            self.next_unload_at = now + self.config.load_backoff;
         }
     }
 
-    /// Decides what to do now.
+    /// Returns the actions to perform now.
     pub fn step(&mut self, rights: &Rights, now: Moment) -> Vec<Action> {
         if self.closed {
             return self.refuse_waiting(Code::NotOwner);
@@ -262,11 +263,11 @@
         }
         self.dispatch(rights, now, &mut actions);
         self.refuse_failed(now, &mut actions);
-        self.load(rights, now, &mut actions);
+        self.start_loads(rights, now, &mut actions);
         actions
     }
 
-    /// Refuses everything that waits.
+    /// Refuses all queued requests.
     pub fn refuse_waiting(&mut self, code: Code) -> Vec<Action> {
         let refused = self.queue.drain();
         let actions = refused.map(|job| Action::Refuse(job.request, code, None));
@@ -282,17 +283,18 @@
         );
     }
 
-    /// Sends waiting requests whose adapter is loaded, as far as the engine's batch has room.
+    /// Sends queued requests whose adapter is loaded, up to the engine's batch size.
     fn dispatch(&mut self, rights: &Rights, now: Moment, actions: &mut Vec<Action>) {
         let batch = self.slots.batch() as usize;
         while self.running.len() < batch {
             let slots = &self.slots;
-            let ready =
-                |variant: &Variant| slots.is_ready(variant) && !rights.doubtful.contains(variant);
+            let ready = |variant: &Variant| {
+                slots.is_ready(variant) && !rights.pending_unloads.contains(variant)
+            };
             let Some(job) = self.queue.pop(ready) else {
                 return;
             };
-            self.slots.occupy(&job.variant, now);
+            self.slots.acquire(&job.variant, now);
             self.running.insert(job.request.clone(), job.variant);
             actions.push(Action::Send(job.request));
         }
@@ -302,26 +304,27 @@
         let failures = &self.failures;
         let failed = |variant: &Variant| {
             let failure = failures.get(variant);
-            failure.is_some_and(|failure| failure.times >= LOAD_TRIES && now < failure.until)
+            failure
+                .is_some_and(|failure| failure.count >= MAX_LOAD_ATTEMPTS && now < failure.retry_at)
         };
         let refused = self.queue.extract(|job| failed(&job.variant));
-        let hint = Some(self.config.load_pause);
+        let hint = Some(self.config.load_backoff);
         for job in refused {
             actions.push(Action::Refuse(job.request, Code::LoadFailed, hint));
         }
         self.failures
-            .retain(|_, failure| now < failure.until || failure.times < LOAD_TRIES);
+            .retain(|_, failure| now < failure.retry_at || failure.count < MAX_LOAD_ATTEMPTS);
     }
 
-    /// Loads adapters that requests wait for, and makes room for them.
-    fn load(&mut self, rights: &Rights, now: Moment, actions: &mut Vec<Action>) {
+    /// Loads adapters that queued requests need, and frees slots for them.
+    fn start_loads(&mut self, rights: &Rights, now: Moment, actions: &mut Vec<Action>) {
         let mut budget = rights.loads;
-        for (variant, since) in self.queue.wanted() {
-            if self.slots.holds(&variant) || rights.doubtful.contains(&variant) {
+        for (variant, since) in self.queue.waiting_variants() {
+            if self.slots.contains(&variant) || rights.pending_unloads.contains(&variant) {
                 continue;
             }
             let paused = self.failures.get(&variant);
-            if paused.is_some_and(|failure| now < failure.until) {
+            if paused.is_some_and(|failure| now < failure.retry_at) {
                 continue;
             }
             if self.slots.has_free() {
@@ -332,29 +335,33 @@
                 self.slots.loading(&variant, now);
                 actions.push(Action::Load(variant));
             } else if rights.unload {
-                self.make_room(rights, since, now, actions);
+                self.free_slot(rights, since, now, actions);
                 return;
             } else {
-                self.pass_on(&variant, actions);
+                self.refuse_variant(&variant, actions);
             }
         }
     }
 
-    /// Starts to unload the idle adapter that was used least recently.
-    fn make_room(
+    /// Starts to unload the least recently used idle adapter, or drains a busy one if the request
+    /// that has waited since `since` exceeds the limit.
+    fn free_slot(
         &mut self,
         rights: &Rights,
         since: Moment,
         now: Moment,
         actions: &mut Vec<Action>,
     ) {
-        if self.slots.is_making_room() || now < self.unloads_from {
+        if self.slots.is_freeing_slot() || now < self.next_unload_at {
             return;
         }
         let queue = &self.queue;
-        let Some(victim) = self.slots.idle(|variant| queue.wants(variant)) else {
-            if now >= since + self.config.patience {
-                self.slots.retire_one(|variant| queue.count(variant));
+        let Some(victim) = self
+            .slots
+            .eviction_candidate(|variant| queue.contains(variant))
+        else {
+            if now >= since + self.config.drain_after {
+                self.slots.drain_least_used(|variant| queue.count(variant));
             }
             return;
         };
@@ -367,8 +374,9 @@
         }
     }
 
-    /// Refuses requests for which no slot can be made free, so that they are tried elsewhere.
-    fn pass_on(&mut self, variant: &Variant, actions: &mut Vec<Action>) {
+    /// Refuses requests for an adapter that cannot get a slot here, so that they are retried
+    /// elsewhere.
+    fn refuse_variant(&mut self, variant: &Variant, actions: &mut Vec<Action>) {
         let refused = self.queue.extract(|job| job.variant == *variant);
         let hint = Some(self.config.retry_after);
         let jobs = refused.into_iter();
--- a/crates/ploverwick_owner/src/endpoint/queue.rs
+++ b/crates/ploverwick_owner/src/endpoint/queue.rs
@@ -1,52 +1,53 @@
-//! The requests that wait for an endpoint.
+//! The queue of requests waiting for an endpoint.
 //!
-//! Among requests of one priority, adapters share by weight: each has a virtual time that moves on
-//! by the inverse of its weight with every request sent, and the adapter that is furthest behind
-//! comes next. An adapter that had nothing to send saves nothing up. Within an adapter the earliest
-//! deadline comes first. Source: Goyal, Vin and Cheng, "Start-time Fair Queuing", 1996.
+//! Adapters share each priority level by weight, using start-time fair queuing. Each adapter has a
+//! virtual time that advances by the inverse of its weight with every request sent, and the adapter
+//! with the lowest virtual time is served next. An adapter without queued requests accumulates no
+//! credit. Within an adapter, the earliest deadline comes first. Source: Goyal, Vin and Cheng,
+//! "Start-time Fair Queuing", 1996.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use ploverwick_names::{Moment, Request, Variant};
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The request.
+    /// The request's ID.
     pub request: Request,
-    /// What it runs on.
+    /// The adapter version that it needs.
     pub variant: Variant,
-    /// 0 to 9; 9 runs first.
+    /// From 0 to 9; 9 runs first.
     pub priority: u8,
-    /// The adapter's share among requests of one priority, above 0.
+    /// The adapter's weight among requests of one priority, above 0.
     pub weight: f64,
-    /// When it is too late to send it.
+    /// The time from which it is no longer sent.
     pub deadline: Moment,
-    /// When it arrived.
+    /// The time of arrival.
     pub arrived: Moment,
 }
 
-/// The order of jobs within an adapter: priority, then deadline, then arrival.
+/// The order of jobs of one adapter: priority, then deadline, then arrival.
 type Rank = (Reverse<u8>, Moment, u64);
 
-/// The order in which jobs are sent: priority, then the adapter's virtual time, then as within it.
-type Turn = (Reverse<u8>, u64, Moment, u64);
+/// The order of dispatch across adapters: priority, then virtual time, then deadline and arrival.
+type DispatchRank = (Reverse<u8>, u64, Moment, u64);
 
-/// The virtual time of a request at weight 1.
-const UNIT: f64 = 1e6;
+/// The virtual time that a request costs at weight 1.
+const BASE_COST: f64 = 1e6;
 
-/// Waiting jobs by rank.
+/// The queued jobs, ordered by rank.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     jobs: BTreeMap<Rank, Job>,
     ranks: BTreeMap<Request, Rank>,
     counts: BTreeMap<Variant, usize>,
     arrivals: u64,
-    /// The virtual time up to which each adapter was served, if it is ahead of the queue's.
-    served: BTreeMap<Variant, u64>,
-    /// The virtual time of the request that was sent last.
-    now: u64,
+    /// The virtual finish time of each adapter that is ahead of `virtual_now`.
+    finish_times: BTreeMap<Variant, u64>,
+    /// The virtual start time of the request sent last.
+    virtual_now: u64,
 }
 
 impl Queue {
@@ -64,7 +65,7 @@
         self.jobs.insert(rank, job);
     }
 
-    /// Takes a job out; returns whether it was there.
+    /// Removes a job; returns whether it was queued.
     pub(super) fn remove(&mut self, request: &Request) -> bool {
         let Some(rank) = self.ranks.get(request).copied() else {
             return false;
@@ -72,32 +73,39 @@
         self.take(rank).is_some()
     }
 
-    fn turn(&self, rank: &Rank, job: &Job) -> Turn {
-        let served = self.served.get(&job.variant).copied().unwrap_or_default();
-        (rank.0, served.max(self.now), rank.1, rank.2)
+    fn dispatch_rank(&self, rank: &Rank, job: &Job) -> DispatchRank {
+        let finish_time = self
+            .finish_times
+            .get(&job.variant)
+            .copied()
+            .unwrap_or_default();
+        (rank.0, finish_time.max(self.virtual_now), rank.1, rank.2)
     }
 
-    /// Takes out the job that is to be sent next among those whose adapter is ready.
+    /// Removes the next job to send among those whose adapter is ready.
     pub(super) fn pop(&mut self, ready: impl Fn(&Variant) -> bool) -> Option<Job> {
         let waiting = self.jobs.iter().filter(|(_, job)| ready(&job.variant));
-        let (turn, rank) = waiting
-            .map(|(rank, job)| (self.turn(rank, job), *rank))
+        let (dispatch_rank, rank) = waiting
+            .map(|(rank, job)| (self.dispatch_rank(rank, job), *rank))
             .min()?;
         let job = self.take(rank)?;
-        self.now = turn.1;
-        let cost = (UNIT / job.weight.max(f64::MIN_POSITIVE)).min(UNIT * UNIT) as u64;
-        self.served.insert(job.variant.clone(), turn.1 + cost);
-        let now = self.now;
-        self.served.retain(|_, served| *served > now);
+        self.virtual_now = dispatch_rank.1;
+        let cost =
+            (BASE_COST / job.weight.max(f64::MIN_POSITIVE)).min(BASE_COST * BASE_COST) as u64;
+        self.finish_times
+            .insert(job.variant.clone(), dispatch_rank.1 + cost);
+        let now = self.virtual_now;
+        self.finish_times
+            .retain(|_, finish_time| *finish_time > now);
         Some(job)
     }
 
-    /// Takes out all jobs that `chosen` chooses, asked in the order of rank.
-    pub(super) fn extract(&mut self, mut chosen: impl FnMut(&Job) -> bool) -> Vec<Job> {
+    /// Removes all jobs that match `predicate`, which is called in the order of rank.
+    pub(super) fn extract(&mut self, mut predicate: impl FnMut(&Job) -> bool) -> Vec<Job> {
         let ranks: Vec<Rank> = self
             .jobs
             .iter()
-            .filter(|(_, job)| chosen(job))
+            .filter(|(_, job)| predicate(job))
             .map(|(rank, _)| *rank)
             .collect();
         ranks
@@ -106,7 +114,7 @@
             .collect()
     }
 
-    /// Takes out all jobs.
+    /// Removes all jobs.
     pub(super) fn drain(&mut self) -> impl Iterator<Item = Job> + use<> {
         self.ranks.clear();
         self.counts.clear();
@@ -125,32 +133,34 @@
         Some(job)
     }
 
-    /// Says whether a job waits for the adapter.
-    pub(super) fn wants(&self, variant: &Variant) -> bool {
+    /// Returns whether a job for the adapter is queued.
+    pub(super) fn contains(&self, variant: &Variant) -> bool {
         self.counts.contains_key(variant)
     }
 
-    /// Returns how many jobs wait for the adapter.
+    /// Returns the number of queued jobs for the adapter.
     pub(super) fn count(&self, variant: &Variant) -> usize {
         self.counts.get(variant).copied().unwrap_or_default()
     }
 
-    /// Lists the adapters that jobs wait for, in the order in which their first jobs would be
-    /// sent, with the arrival of that job.
-    pub(super) fn wanted(&self) -> Vec<(Variant, Moment)> {
-        let mut first: BTreeMap<&Variant, (Turn, Moment)> = BTreeMap::new();
+    /// Lists the adapters with queued jobs, in the order in which their first jobs would be sent,
+    /// with the arrival time of that job.
+    pub(super) fn waiting_variants(&self) -> Vec<(Variant, Moment)> {
+        let mut first: BTreeMap<&Variant, (DispatchRank, Moment)> = BTreeMap::new();
         for (rank, job) in &self.jobs {
-            let turn = self.turn(rank, job);
-            let known = first.entry(&job.variant).or_insert((turn, job.arrived));
-            *known = (*known).min((turn, job.arrived));
+            let dispatch_rank = self.dispatch_rank(rank, job);
+            let entry = first
+                .entry(&job.variant)
+                .or_insert((dispatch_rank, job.arrived));
+            *entry = (*entry).min((dispatch_rank, job.arrived));
         }
-        let mut wanted: Vec<(Turn, &Variant, Moment)> = first
+        let mut waiting_variants: Vec<(DispatchRank, &Variant, Moment)> = first
             .into_iter()
-            .map(|(variant, (turn, arrived))| (turn, variant, arrived))
+            .map(|(variant, (dispatch_rank, arrived))| (dispatch_rank, variant, arrived))
             .collect();
-        wanted.sort();
-        let wanted = wanted.into_iter();
-        wanted
+        waiting_variants.sort();
+        let waiting_variants = waiting_variants.into_iter();
+        waiting_variants
             .map(|(_, variant, arrived)| (variant.clone(), arrived))
             .collect()
     }
--- a/crates/ploverwick_owner/src/endpoint/slots.rs
+++ b/crates/ploverwick_owner/src/endpoint/slots.rs
@@ -1,4 +1,4 @@
-//! The adapter slots of an engine, as its owner knows them.
+//! The owner's view of an engine's adapter slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,81 +7,81 @@
 
 use super::{Outcome, Report};
 
-/// A slot that a report shows in use.
+/// An occupied slot in an engine report.
 #[derive(Debug, Clone)]
-pub struct Found {
-    /// What it holds.
+pub struct ReportedSlot {
+    /// The adapter version in the slot.
     pub variant: Variant,
-    /// Whether requests can run on it.
+    /// Whether the adapter is loaded and can serve requests.
     pub ready: bool,
     /// The number of requests running on it.
     pub running: u32,
 }
 
-/// What is known of a slot.
+/// The state of a slot, as the owner knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// A load was ordered.
+    /// A load order is in flight.
     Loading,
-    /// Requests can run.
+    /// The adapter can serve requests.
     Loaded,
     /// An unload is being announced in the log.
     Announced,
-    /// An unload was ordered.
+    /// An unload order is in flight.
     Unloading,
-    /// A load is under way of which no answer will come: it was lost, or another owner's.
+    /// A load is in progress whose response was lost or goes to another owner.
     LoadLost,
-    /// The answer to an unload is missing; it may still strike.
+    /// The response to an unload order was lost; the order may still take effect.
     UnloadLost,
 }
 
 impl State {
-    /// Says whether an unload is announced, under way, or of unknown outcome.
-    fn may_strike(self) -> bool {
+    /// Returns whether an unload is announced, in flight or of unknown outcome.
+    fn has_pending_unload(self) -> bool {
         matches!(self, Self::Announced | Self::Unloading | Self::UnloadLost)
     }
 }
 
-/// How late news may be.
+/// Upper bounds on message delays.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Lags {
-    /// How old a report may be when it comes.
+    /// The maximum age of a report on arrival.
     pub(super) report: Duration,
-    /// How long an order may still arrive.
+    /// How long an order may still take effect.
     pub(super) order: Duration,
 }
 
 #[derive(Debug, Clone)]
 struct Slot {
     state: State,
-    /// When the state or the use changed last.
-    touched: Moment,
-    /// Whether an earlier owner's requests may be running on it.
+    /// When the state or the set of running requests last changed.
+    changed_at: Moment,
+    /// Whether requests of an earlier owner may be running on it.
     inherited: bool,
-    /// Whether it takes no new requests, so that it becomes idle.
-    retiring: bool,
+    /// Whether it accepts no new requests, so that it becomes idle and can be unloaded.
+    draining: bool,
 }
 
 impl Slot {
     fn new(state: State, now: Moment) -> Self {
         Self {
             state,
-            touched: now,
+            changed_at: now,
             inherited: false,
-            retiring: false,
+            draining: false,
         }
     }
 }
 
-/// All slots of an engine.
+/// The slots of an engine.
 #[derive(Debug, Default)]
 pub(super) struct Slots {
     used: BTreeMap<Variant, Slot>,
-    /// The requests that run on each adapter or are on their way to it. A request counts until it
-    /// is over, also if the engine restarts meanwhile: it may arrive in the engine's new life.
-    users: BTreeMap<Variant, u32>,
-    /// When adapters were unloaded, for as long as a late report may still show them.
-    unloaded: BTreeMap<Variant, Moment>,
+    /// The number of requests running on each adapter or on their way to it. A request counts
+    /// until it ends, even across an engine restart, because it may arrive after the restart.
+    in_flight: BTreeMap<Variant, u32>,
+    /// When adapters were unloaded, kept for as long as a delayed report may still list them.
+    recently_unloaded: BTreeMap<Variant, Moment>,
     total: u32,
     batch: u32,
     incarnation: Incarnation,
@@ -94,16 +94,16 @@
 
     pub(super) fn list(&self) -> impl Iterator<Item = (&Variant, State, u32)> {
         let used = self.used.iter();
-        used.map(|(variant, slot)| (variant, slot.state, self.users(variant)))
+        used.map(|(variant, slot)| (variant, slot.state, self.in_flight(variant)))
     }
 
-    pub(super) fn holds(&self, variant: &Variant) -> bool {
+    pub(super) fn contains(&self, variant: &Variant) -> bool {
         self.used.contains_key(variant)
     }
 
     pub(super) fn is_ready(&self, variant: &Variant) -> bool {
         let slot = self.used.get(variant);
-        slot.is_some_and(|slot| slot.state == State::Loaded && !slot.retiring)
+        slot.is_some_and(|slot| slot.state == State::Loaded && !slot.draining)
     }
 
     pub(super) fn is_announced(&self, variant: &Variant) -> bool {
@@ -115,38 +115,40 @@
         self.used.len() < self.total as usize
     }
 
-    /// Says whether a slot will become free without another order.
-    pub(super) fn is_making_room(&self) -> bool {
+    /// Returns whether a slot will become free without another order.
+    pub(super) fn is_freeing_slot(&self) -> bool {
         self.used.iter().any(|(variant, slot)| {
             let unloading = matches!(slot.state, State::Announced | State::Unloading);
-            unloading || slot.retiring && self.users(variant) > 0
+            unloading || slot.draining && self.in_flight(variant) > 0
         })
     }
 
-    fn users(&self, variant: &Variant) -> u32 {
-        self.users.get(variant).copied().unwrap_or_default()
+    fn in_flight(&self, variant: &Variant) -> u32 {
+        self.in_flight.get(variant).copied().unwrap_or_default()
     }
 
-    /// Says whether an order is under way or its outcome unknown.
+    /// Returns whether an order is in flight or of unknown outcome.
     pub(super) fn has_orders(&self) -> bool {
         self.used.values().any(|slot| slot.state != State::Loaded)
     }
 
-    /// Says whether an unload may still strike.
-    pub(super) fn has_unloads(&self) -> bool {
-        self.used.values().any(|slot| slot.state.may_strike())
+    /// Returns whether an unload may still take effect.
+    pub(super) fn has_pending_unloads(&self) -> bool {
+        self.used
+            .values()
+            .any(|slot| slot.state.has_pending_unload())
     }
 
-    pub(super) fn occupy(&mut self, variant: &Variant, now: Moment) {
-        *self.users.entry(variant.clone()).or_default() += 1;
+    pub(super) fn acquire(&mut self, variant: &Variant, now: Moment) {
+        *self.in_flight.entry(variant.clone()).or_default() += 1;
         self.touch(variant, now);
     }
 
     pub(super) fn release(&mut self, variant: &Variant, now: Moment) {
-        if let Some(users) = self.users.get_mut(variant) {
-            *users -= 1;
-            if *users == 0 {
-                self.users.remove(variant);
+        if let Some(in_flight) = self.in_flight.get_mut(variant) {
+            *in_flight -= 1;
+            if *in_flight == 0 {
+                self.in_flight.remove(variant);
             }
         }
         self.touch(variant, now);
@@ -154,36 +156,37 @@
 
     fn touch(&mut self, variant: &Variant, now: Moment) {
         if let Some(slot) = self.used.get_mut(variant) {
-            slot.touched = now;
+            slot.changed_at = now;
         }
     }
 
-    /// Finds the idle slot that was used least recently, sparing those that jobs wait for.
-    pub(super) fn idle(&self, wanted: impl Fn(&Variant) -> bool) -> Option<Variant> {
+    /// Returns the least recently used idle adapter, skipping those that queued jobs need unless
+    /// they are draining.
+    pub(super) fn eviction_candidate(&self, wanted: impl Fn(&Variant) -> bool) -> Option<Variant> {
         self.used
             .iter()
             .filter(|(variant, slot)| {
                 slot.state == State::Loaded
-                    && self.users(variant) == 0
+                    && self.in_flight(variant) == 0
                     && !slot.inherited
-                    && (slot.retiring || !wanted(variant))
+                    && (slot.draining || !wanted(variant))
             })
-            .min_by_key(|(_, slot)| (!slot.retiring, slot.touched))
+            .min_by_key(|(_, slot)| (!slot.draining, slot.changed_at))
             .map(|(variant, _)| variant.clone())
     }
 
-    /// Makes the loaded slot with the least work take no new requests.
-    pub(super) fn retire_one(&mut self, waiting: impl Fn(&Variant) -> usize) {
-        let users = &self.users;
+    /// Drains the loaded slot with the fewest running and queued requests.
+    pub(super) fn drain_least_used(&mut self, waiting: impl Fn(&Variant) -> usize) {
+        let in_flight = &self.in_flight;
         let least = self
             .used
             .iter_mut()
             .filter(|(_, slot)| slot.state == State::Loaded && !slot.inherited)
             .min_by_key(|(variant, _)| {
-                users.get(variant).copied().unwrap_or_default() as usize + waiting(variant)
+                in_flight.get(variant).copied().unwrap_or_default() as usize + waiting(variant)
             });
         if let Some((_, slot)) = least {
-            slot.retiring = true;
+            slot.draining = true;
         }
     }
 
@@ -201,7 +204,7 @@
             Outcome::Refused => {
                 self.used.remove(variant);
             }
-            Outcome::Unknown => self.set(variant, State::LoadLost, now),
+            Outcome::Unknown => self.set_state(variant, State::LoadLost, now),
         }
     }
 
@@ -218,25 +221,25 @@
     }
 
     pub(super) fn restore(&mut self, variant: &Variant, now: Moment) {
-        self.set(variant, State::Loaded, now);
+        self.set_state(variant, State::Loaded, now);
     }
 
     pub(super) fn unloaded(&mut self, variant: &Variant, outcome: Outcome, now: Moment) {
         match outcome {
             Outcome::Done => {
                 self.used.remove(variant);
-                self.unloaded.insert(variant.clone(), now);
+                self.recently_unloaded.insert(variant.clone(), now);
             }
-            Outcome::Refused => self.set(variant, State::Loaded, now),
-            Outcome::Unknown => self.set(variant, State::UnloadLost, now),
+            Outcome::Refused => self.set_state(variant, State::Loaded, now),
+            Outcome::Unknown => self.set_state(variant, State::UnloadLost, now),
         }
     }
 
-    fn set(&mut self, variant: &Variant, state: State, now: Moment) {
+    fn set_state(&mut self, variant: &Variant, state: State, now: Moment) {
         if let Some(slot) = self.used.get_mut(variant) {
             slot.state = state;
-            slot.touched = now;
-            slot.retiring = false;
+            slot.changed_at = now;
+            slot.draining = false;
         }
     }
 
@@ -244,28 +247,29 @@
         self.total = report.slots;
         self.batch = report.batch;
         if report.incarnation != self.incarnation {
-            // A restarted engine has nothing loaded, but an unload that is still on its way may
-            // strike in its new life.
-            self.used.retain(|_, slot| slot.state.may_strike());
-            self.unloaded.clear();
+            // A restarted engine has no adapters loaded, but an unload order that was sent before
+            // the restart may still arrive after it.
+            self.used.retain(|_, slot| slot.state.has_pending_unload());
+            self.recently_unloaded.clear();
             self.incarnation = report.incarnation;
         }
-        self.unloaded.retain(|_, at| now < *at + lags.report);
+        self.recently_unloaded
+            .retain(|_, at| now < *at + lags.report);
         for found in &report.used {
             self.merge(found, settled, lags, now);
         }
-        let users = &self.users;
+        let in_flight = &self.in_flight;
         self.used.retain(|variant, slot| {
             let shown = report.used.iter().any(|found| found.variant == *variant);
-            shown || users.contains_key(variant) || !is_gone(slot, lags, now)
+            shown || in_flight.contains_key(variant) || !is_gone(slot, lags, now)
         });
     }
 
-    fn merge(&mut self, found: &Found, settled: bool, lags: Lags, now: Moment) {
-        if self.unloaded.contains_key(&found.variant) && !self.holds(&found.variant) {
+    fn merge(&mut self, found: &ReportedSlot, settled: bool, lags: Lags, now: Moment) {
+        if self.recently_unloaded.contains_key(&found.variant) && !self.contains(&found.variant) {
             return;
         }
-        let idle = self.users(&found.variant) == 0;
+        let idle = self.in_flight(&found.variant) == 0;
         let Some(slot) = self.used.get_mut(&found.variant) else {
             let state = if found.ready {
                 State::Loaded
@@ -277,27 +281,27 @@
             self.used.insert(found.variant.clone(), slot);
             return;
         };
-        let current = now >= slot.touched + lags.report;
+        let current = now >= slot.changed_at + lags.report;
         if slot.inherited && settled && current && idle && found.running == 0 {
             slot.inherited = false;
         }
-        let arrived = slot.state == State::LoadLost && found.ready;
-        let spared =
-            slot.state == State::UnloadLost && now >= slot.touched + lags.order + lags.report;
-        if arrived || spared && found.ready {
+        let load_finished = slot.state == State::LoadLost && found.ready;
+        let unload_lost =
+            slot.state == State::UnloadLost && now >= slot.changed_at + lags.order + lags.report;
+        if load_finished || unload_lost && found.ready {
             slot.state = State::Loaded;
-            slot.touched = now;
+            slot.changed_at = now;
         }
     }
 }
 
-/// Says whether an idle slot that a report does not show has become free.
+/// Returns whether an idle slot that is missing from a report has become free.
 fn is_gone(slot: &Slot, lags: Lags, now: Moment) -> bool {
     let lag = match slot.state {
-        // The answer to the order will say.
+        // The response to the order decides.
         State::Loading | State::Unloading => return false,
         State::LoadLost | State::UnloadLost => lags.order + lags.report,
         State::Loaded | State::Announced => lags.report,
     };
-    now >= slot.touched + lag
+    now >= slot.changed_at + lag
 }
--- a/crates/ploverwick_owner/src/lib.rs
+++ b/crates/ploverwick_owner/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decides who owns an endpoint, and what its owner does.
+//! Ownership of endpoints: which instance owns an endpoint, and how the owner schedules it.
 //!
-//! [`holds`] folds the log's stream of claims into who may order what; [`tenure`] is one daemon's
-//! time as an endpoint's owner; [`endpoint`] is the queue, the slots and the dispatch of one
-//! endpoint. All are plain state machines: they are told what happened and when, and answer with
-//! actions. They do no input or output and read no clock.
+//! [`ownership`] folds the log's stream of claims into the current owners and their permissions.
+//! [`tenure`] tracks the period in which one instance owns an endpoint. [`endpoint`] holds the
+//! request queue, the adapter slots and the dispatch of one endpoint. All three are deterministic
+//! state machines: they take events with their times and return actions. They perform no I/O and
+//! read no clock.
 
 pub mod endpoint;
-pub mod holds;
+pub mod ownership;
 pub mod record;
 pub mod tenure;
--- a/crates/ploverwick_owner/src/record.rs
+++ b/crates/ploverwick_owner/src/record.rs
@@ -1,57 +1,57 @@
-//! Records of the log's stream of owners.
+//! Records of the log's ownership stream.
 
 use ploverwick_names::{Endpoint, Life, Token, Variant};
 use serde::{Deserialize, Serialize};
 
-/// A record of the stream of owners. Its order in the log decides.
+/// A record of the ownership stream. The order in the log decides between competing records.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
-    /// The life takes the endpoint; the record's offset is the fencing token.
+    /// The process claims the endpoint; the record's offset is the fencing token.
     Claim {
         /// The endpoint.
         endpoint: Endpoint,
         /// The new owner.
         life: Life,
     },
-    /// The life sends the endpoint nothing new from here on.
+    /// The process sends nothing new to the endpoint after this record.
     Release {
         /// The endpoint.
         endpoint: Endpoint,
-        /// The owner that leaves.
+        /// The owner that releases it.
         life: Life,
     },
-    /// Nothing that the life sent to the endpoint is running or can still arrive.
+    /// Nothing that the process sent to the endpoint is running or can still arrive.
     Quit {
         /// The endpoint.
         endpoint: Endpoint,
         /// The earlier owner.
         life: Life,
     },
-    /// The life is about to order an unload from an engine that checks no token.
+    /// The process is about to order an unload from an engine that does not check fencing tokens.
     Intent {
         /// The endpoint.
         endpoint: Endpoint,
         /// The owner.
         life: Life,
-        /// Its token when it wrote this.
+        /// The owner's token when it wrote this record.
         token: Token,
-        /// What it is about to unload.
+        /// The adapter version to unload.
         variant: Variant,
     },
-    /// The unload that the life announced was done, or will never be sent.
+    /// The unload that the process announced was done, or will never be sent.
     Outcome {
         /// The endpoint.
         endpoint: Endpoint,
         /// The owner.
         life: Life,
-        /// What it had announced.
+        /// The adapter version that it announced.
         variant: Variant,
     },
 }
 
 impl Record {
-    /// Returns the endpoint that the record is about.
+    /// Returns the endpoint that the record concerns.
     pub fn endpoint(&self) -> &Endpoint {
         match self {
             Self::Claim { endpoint, .. }
--- a/crates/ploverwick_owner/src/tenure.rs
+++ b/crates/ploverwick_owner/src/tenure.rs
@@ -1,74 +1,75 @@
-//! One daemon's time as an endpoint's owner.
+//! The period in which one instance owns an endpoint.
 
 use ploverwick_names::{Incarnation, Token};
 
 use crate::endpoint::Rights;
-use crate::holds::Permit;
+use crate::ownership::Permit;
 
-/// What a daemon is to an endpoint.
+/// The relation of an instance to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Role {
     /// It owns the endpoint.
     Owner,
-    /// It owned the endpoint, and something of it may still run there.
+    /// It owned the endpoint, and its requests or orders may still be running there.
     Former,
-    /// Nothing of it runs there.
+    /// None of its requests or orders is running there.
     Settled,
 }
 
-/// One daemon's time as an endpoint's owner.
+/// Tracks an instance's ownership of one endpoint and the fencing token that the engine has seen.
 #[derive(Debug)]
 pub struct Tenure {
     checks_tokens: bool,
-    standing: Standing,
-    shown: Option<Shown>,
+    role: Role,
+    shown: Option<ShownToken>,
 }
 
-/// A token that an engine has seen in one of its lives. A restarted engine has forgotten it.
+/// A token that the engine accepted in the given incarnation. A restarted engine has forgotten it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Shown {
+struct ShownToken {
     token: Token,
     incarnation: Incarnation,
 }
 
 impl Tenure {
-    /// Starts as nobody to an engine that checks tokens, or does not.
+    /// Creates a tenure in [`Role::Settled`]. `checks_tokens` tells whether the engine checks
+    /// fencing tokens.
     pub fn new(checks_tokens: bool) -> Self {
         Self {
             checks_tokens,
-            standing: Standing::Settled,
+            role: Role::Settled,
             shown: None,
         }
     }
 
-    /// Says that the daemon owns the endpoint now.
+    /// Records that this instance now owns the endpoint.
     pub fn gained(&mut self) {
-        if self.standing != Standing::Owner {
-            // Another owner may have shown a newer token since.
+        if self.role != Role::Owner {
+            // Another owner may have shown the engine a newer token in the meantime.
             self.shown = None;
         }
-        self.standing = Standing::Owner;
+        self.role = Role::Owner;
     }
 
-    /// Says that the daemon is giving the endpoint up, or has lost it.
+    /// Records that this instance is releasing the endpoint or has lost it.
     pub fn closed(&mut self) {
-        if self.standing == Standing::Owner {
-            self.standing = Standing::Former;
+        if self.role == Role::Owner {
+            self.role = Role::Former;
         }
     }
 
-    /// Returns what the daemon is to the endpoint.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    /// Returns the instance's relation to the endpoint.
+    pub fn role(&self) -> Role {
+        self.role
     }
 
-    /// Says that the engine has seen a token in its given life.
+    /// Records that the engine has accepted a token in the given incarnation.
     pub fn shown(&mut self, token: Token, incarnation: Incarnation) {
-        self.shown = Some(Shown { token, incarnation });
+        self.shown = Some(ShownToken { token, incarnation });
     }
 
-    /// Says which life the engine is in. One that restarted has forgotten every token.
-    pub fn engine_is(&mut self, incarnation: Incarnation) {
+    /// Updates the engine's incarnation. A restarted engine has forgotten every token.
+    pub fn set_engine_incarnation(&mut self, incarnation: Incarnation) {
         if self
             .shown
             .is_some_and(|shown| shown.incarnation < incarnation)
@@ -77,38 +78,40 @@
         }
     }
 
-    /// Returns the token that the engine still has to see.
+    /// Returns the token that must be shown to the engine, if it has not seen it yet.
     pub fn token_to_show(&self, permit: Option<&Permit>) -> Option<Token> {
         let token = permit?.token;
-        let needed = self.checks_tokens && self.standing == Standing::Owner;
+        let needed = self.checks_tokens && self.role == Role::Owner;
         let seen = self.shown.is_some_and(|shown| shown.token >= token);
         (needed && !seen).then_some(token)
     }
 
-    /// Returns what may be done, with `loads` left of the store's budget.
+    /// Returns the owner's permissions, with `loads` left of the store's budget.
     pub fn rights(&self, permit: Option<Permit>, loads: u32) -> Rights {
-        let Some(permit) = permit.filter(|_| self.standing == Standing::Owner) else {
+        let Some(permit) = permit.filter(|_| self.role == Role::Owner) else {
             return Rights::default();
         };
-        // A refreshed claim has a new token; any token of this tenure keeps earlier owners out.
+        // A refreshed claim has a new token, but any token of this tenure fences off earlier
+        // owners.
         let fenced = !self.checks_tokens || self.shown.is_some();
         Rights {
             send: fenced,
             unload: fenced && permit.settled,
             announce: !self.checks_tokens,
-            doubtful: permit.doubtful,
+            pending_unloads: permit.pending_unloads,
             loads,
         }
     }
 
-    /// Says whether to write [`crate::record::Record::Quit`] now, and remembers that it is written.
-    /// `quiet` says whether nothing of this daemon runs on the endpoint or is on its way to it, and
-    /// `released` whether the log shows that it does not own the endpoint any more.
-    pub fn quits(&mut self, quiet: bool, released: bool) -> bool {
-        let quits = self.standing == Standing::Former && quiet && released;
-        if quits {
-            self.standing = Standing::Settled;
+    /// Returns whether to write [`crate::record::Record::Quit`] now, and if so marks this instance
+    /// as settled. `idle` tells whether none of its requests or orders is running on the endpoint
+    /// or on its way to it, and `released` whether the log shows that it no longer owns the
+    /// endpoint.
+    pub fn try_settle(&mut self, idle: bool, released: bool) -> bool {
+        let settles = self.role == Role::Former && idle && released;
+        if settles {
+            self.role = Role::Settled;
         }
-        quits
+        settles
     }
 }
--- a/crates/ploverwick_scenario/src/owners.rs
+++ b/crates/ploverwick_scenario/src/owners.rs
@@ -11,7 +11,7 @@
     Adapter, Endpoint, Incarnation, Instance, Life, Moment, Offset, Request, Token, Variant,
     Version,
 };
-use ploverwick_owner::holds::Standing;
+use ploverwick_owner::ownership::Liveness;
 use ploverwick_owner::record::Record;
 
 use daemon::{Daemon, News};
@@ -208,7 +208,7 @@
         let next = life(index, before.incarnation.0 + 1);
         self.daemons[index] = Daemon::new(next, self.plan);
         for daemon in &mut self.daemons {
-            daemon.holds.ended(&before, self.now);
+            daemon.holds.mark_ended(&before, self.now);
         }
         self.dying.push(Dying {
             life: before,
@@ -335,9 +335,9 @@
         let present: Vec<Life> = heard.map(|(_, daemon)| daemon.life().clone()).collect();
         let standing = |life: &Life| {
             if present.contains(life) {
-                Standing::Present
+                Liveness::Present
             } else {
-                Standing::Gone
+                Liveness::Gone
             }
         };
         let now = self.now;
--- a/crates/ploverwick_scenario/src/owners/daemon.rs
+++ b/crates/ploverwick_scenario/src/owners/daemon.rs
@@ -4,10 +4,10 @@
 
 use ploverwick_codes::Code;
 use ploverwick_names::{Incarnation, Life, Moment, Offset, Request, Token, Variant};
-use ploverwick_owner::endpoint::{Action, Config, Job, Machine, Outcome, Report, Rights};
-use ploverwick_owner::holds::{self, Change, Controller};
+use ploverwick_owner::endpoint::{Action, Config, Job, Outcome, Report, Rights, Scheduler};
+use ploverwick_owner::ownership::{self, Change, Controller};
 use ploverwick_owner::record::Record;
-use ploverwick_owner::tenure::{Standing, Tenure};
+use ploverwick_owner::tenure::{Role, Tenure};
 
 use super::{Message, ORDER_LAG, Off, Plan, endpoint};
 
@@ -37,7 +37,7 @@
 pub(super) struct Daemon {
     pub(super) holds: Controller,
     tenure: Tenure,
-    machine: Machine,
+    machine: Scheduler,
     off: Off,
     checks_tokens: bool,
     pub(super) read: usize,
@@ -63,17 +63,17 @@
 
 impl Daemon {
     pub(super) fn new(life: Life, plan: Plan) -> Self {
-        let config = holds::Config {
+        let config = ownership::Config {
             order_lag: ORDER_LAG,
             refresh: Duration::from_hours(1),
         };
-        let machine = Machine::new(Config {
-            queue: 64,
+        let machine = Scheduler::new(Config {
+            queue_capacity: 64,
             report_lag: Duration::ZERO,
             order_lag: ORDER_LAG,
-            patience: Duration::from_secs(1),
+            drain_after: Duration::from_secs(1),
             retry_after: Duration::from_millis(500),
-            load_pause: Duration::from_secs(1),
+            load_backoff: Duration::from_secs(1),
         });
         Self {
             holds: Controller::new(life, config),
@@ -91,7 +91,7 @@
     }
 
     pub(super) fn is_owner(&self) -> bool {
-        self.tenure.standing() == Standing::Owner
+        self.tenure.role() == Role::Owner
     }
 
     fn rights(&self, now: Moment) -> Rights {
@@ -104,7 +104,7 @@
             Off::Nothing | Off::Fence => {}
             Off::Settle => rights.unload = rights.send,
             Off::Intent => rights.announce = false,
-            Off::Doubt => rights.doubtful.clear(),
+            Off::Doubt => rights.pending_unloads.clear(),
         }
         rights
     }
@@ -127,7 +127,7 @@
 
     pub(super) fn step(&mut self, report: &Report, now: Moment) -> Vec<Act> {
         if !self.troubles.deaf {
-            self.tenure.engine_is(report.incarnation);
+            self.tenure.set_engine_incarnation(report.incarnation);
             let settled = self.rights(now).unload;
             self.machine.report(report, settled, now);
         }
@@ -143,15 +143,15 @@
 
     pub(super) fn quits(&mut self) -> bool {
         let released = self.holds.owner(&endpoint()) != Some(self.holds.me());
-        let quiet = self.machine.is_quiet();
-        self.tenure.quits(quiet, released)
+        let quiet = self.machine.is_idle();
+        self.tenure.try_settle(quiet, released)
     }
 
     /// Closes the endpoint and says whether it may be released already.
     pub(super) fn may_release(&mut self) -> bool {
         self.tenure.closed();
         self.machine.close();
-        !self.machine.has_unloads()
+        !self.machine.has_pending_unloads()
     }
 
     pub(super) fn apply(
@@ -178,7 +178,7 @@
                 let event = format!("reads its intent for {}", variant.adapter);
                 Some((event, self.announced(&variant, true, now)))
             }
-            Change::Overtaken(_, variant) => {
+            Change::Superseded(_, variant) => {
                 let event = format!("was overtaken in its intent for {}", variant.adapter);
                 Some((event, self.announced(&variant, false, now)))
             }
@@ -214,7 +214,7 @@
                 let outcome = outcome(done);
                 self.machine.unloaded(&variant, outcome, now);
                 if !self.checks_tokens && outcome != Outcome::Unknown && self.off != Off::Intent {
-                    return self.acts(vec![Action::Settle(variant)]);
+                    return self.acts(vec![Action::LogOutcome(variant)]);
                 }
             }
             News::Shown(token, incarnation, true) if !lost => {
@@ -244,7 +244,7 @@
                 token,
                 variant,
             })),
-            Action::Settle(variant) => Some(Act::Append(Record::Outcome {
+            Action::LogOutcome(variant) => Some(Act::Append(Record::Outcome {
                 endpoint: endpoint(),
                 life: life.clone(),
                 variant,
--- a/crates/ploverwick_scenario/src/owners/engine.rs
+++ b/crates/ploverwick_scenario/src/owners/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ploverwick_names::{Incarnation, Life, Request, Token, Variant};
-use ploverwick_owner::endpoint::{Found, Report};
+use ploverwick_owner::endpoint::{Report, ReportedSlot};
 
 const BATCH: u32 = 8;
 
@@ -108,7 +108,7 @@
     pub(super) fn report(&self) -> Report {
         let used = self.loaded.iter().map(|variant| {
             let users = self.runs.values().filter(|(used, _)| used == variant);
-            Found {
+            ReportedSlot {
                 variant: variant.clone(),
                 ready: true,
                 running: u32::try_from(users.count()).unwrap_or(u32::MAX),
