--- a/crates/ploverwick_claims/src/key.rs
+++ b/crates/ploverwick_claims/src/key.rs
@@ -1,4 +1,4 @@
-//! Digests of callers' keys.
+//! Digests of idempotency keys.
 
 use std::fmt;
 
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-const LEN: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// The digest of a caller and its idempotency key.
 ///
-/// The caller is part of it, so that no caller can reach another's request by guessing its key.
-/// The key itself is not kept.
+/// It covers the caller, so that no caller can reach another's request by guessing its key. The
+/// key itself is not stored.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Key([u8; LEN]);
+pub struct Key([u8; DIGEST_BYTES]);
 
-/// Says that bytes or a text are not a key's digest.
+/// The error for bytes or text that are not a key digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyError;
 
@@ -24,38 +24,40 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "a key's digest has {LEN} bytes, or twice as many hexadecimal digits"
+            "a key's digest has {DIGEST_BYTES} bytes, or twice as many hexadecimal digits"
         )
     }
 }
 
 impl Key {
-    /// Makes the digest of a caller and its key.
+    /// Computes the digest of a caller and its key.
     pub fn digest(caller: &Caller, key: &str) -> Self {
-        // Names hold no zero byte, so no two pairs give the same text.
+        // Names contain no zero byte, so distinct pairs hash distinct input.
         let mut hasher = Sha256::new();
         hasher.update(caller.as_str());
         hasher.update([0]);
         hasher.update(key);
-        let mut bytes = [0; LEN];
-        bytes.copy_from_slice(&hasher.finalize()[..LEN]);
+        let mut bytes = [0; DIGEST_BYTES];
+        bytes.copy_from_slice(&hasher.finalize()[..DIGEST_BYTES]);
         Self(bytes)
     }
 
-    /// Reads a digest from a message.
+    /// Converts bytes of a message to a digest.
     ///
     /// # Errors
-    /// Fails if there are not 16 bytes.
+    /// Fails unless there are exactly 16 bytes.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, KeyError> {
-        <[u8; LEN]>::try_from(bytes).map(Self).map_err(|_| KeyError)
+        <[u8; DIGEST_BYTES]>::try_from(bytes)
+            .map(Self)
+            .map_err(|_| KeyError)
     }
 
-    /// Returns the digest's bytes.
+    /// Returns the bytes of the digest.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Returns the partition that the key belongs to.
+    /// Returns the partition of the key.
     pub fn partition(&self, partitions: u32) -> u32 {
         let head = u32::from_be_bytes([self.0[0], self.0[1], self.0[2], self.0[3]]);
         head % partitions.max(1)
@@ -84,10 +86,10 @@
     type Error = KeyError;
 
     fn try_from(text: String) -> Result<Self, KeyError> {
-        if text.len() != 2 * LEN || !text.is_ascii() {
+        if text.len() != 2 * DIGEST_BYTES || !text.is_ascii() {
             return Err(KeyError);
         }
-        let mut bytes = [0; LEN];
+        let mut bytes = [0; DIGEST_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| KeyError)?;
--- a/crates/ploverwick_claims/src/partition.rs
+++ b/crates/ploverwick_claims/src/partition.rs
@@ -1,4 +1,4 @@
-//! Folds one partition's stream into who holds which key.
+//! The state of one partition: which request holds each key, folded from the partition's stream.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::Key;
 
-/// How far apart the clocks of callers, instances and the log may be.
+/// The maximum clock skew between callers, instances and the log.
 pub const CLOCK_SKEW: Duration = Duration::from_mins(1);
 
 /// A record of a partition's stream.
@@ -18,40 +18,40 @@
     pub key: Key,
     /// The request that claims it.
     pub request: Request,
-    /// The entry that would run the request.
+    /// The process that accepted the request and would run it.
     pub life: Life,
-    /// Whether this gives the key back, because the request did not run and never will.
+    /// Whether this record releases the key because the request did not run and never will.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub forfeit: bool,
 }
 
-/// Who holds a key.
+/// The holder of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
     /// The request.
     pub request: Request,
-    /// The entry that runs it.
+    /// The process that accepted the request and runs it.
     pub life: Life,
 }
 
-/// A held key and when it was claimed.
+/// A claimed key's holder and the time of its claim.
 #[derive(Debug)]
-struct Held {
+struct ClaimedKey {
     holder: Holder,
     at_ms: u64,
 }
 
-/// One partition's keys within the window.
+/// The keys of one partition that were claimed within the window.
 #[derive(Debug, Default)]
 pub struct Partition {
-    holders: HashMap<Key, Held>,
-    ages: VecDeque<(u64, Key)>,
+    holders: HashMap<Key, ClaimedKey>,
+    by_age: VecDeque<(u64, Key)>,
     next: Offset,
     lost_until_ms: Option<u64>,
 }
 
 impl Partition {
-    /// Starts before the first record.
+    /// Creates a partition that has read no records.
     pub fn new() -> Self {
         Self {
             next: Offset(1),
@@ -69,26 +69,26 @@
         self.holders.len()
     }
 
-    /// Says whether no key is held.
+    /// Returns whether no key is held.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Takes the next record into account; `at_ms` is when the log took it. The first claim of a
-    /// key holds it. A forfeit counts only if it comes from the holder.
+    /// Applies the next record; `at_ms` is the time at which the log accepted it. The first claim
+    /// of a key holds it. A forfeit only counts if it comes from the holder.
     pub fn apply(&mut self, offset: Offset, at_ms: u64, record: &Record) {
         if offset < self.next {
             return;
         }
         if offset > self.next {
-            // Claims up to the age of this record may be missing.
+            // The skipped offsets may hold claims as recent as this record.
             self.lost_until_ms = self.lost_until_ms.max(Some(at_ms));
         }
         self.next = Offset(offset.0 + 1);
         let holder = self.holders.get(&record.key);
         if record.forfeit {
-            let same = holder.is_some_and(|held| held.holder.request == record.request);
-            if same {
+            let from_holder = holder.is_some_and(|held| held.holder.request == record.request);
+            if from_holder {
                 self.holders.remove(&record.key);
             }
             return;
@@ -98,32 +98,33 @@
                 request: record.request.clone(),
                 life: record.life.clone(),
             };
-            self.holders.insert(record.key, Held { holder, at_ms });
-            self.ages.push_back((at_ms, record.key));
+            self.holders
+                .insert(record.key, ClaimedKey { holder, at_ms });
+            self.by_age.push_back((at_ms, record.key));
         }
     }
 
-    /// Returns who holds a key.
+    /// Returns the holder of a key.
     pub fn holder(&self, key: &Key) -> Option<&Holder> {
         self.holders.get(key).map(|held| &held.holder)
     }
 
-    /// Says whether every claim of a key made at `made_ms` must have been read, if it is there.
+    /// Returns whether no claim of a key created at `made_ms` can be among the lost records.
     pub fn covers(&self, made_ms: u64) -> bool {
         let skew = millis(CLOCK_SKEW);
         self.lost_until_ms
             .is_none_or(|lost| made_ms > lost.saturating_add(skew))
     }
 
-    /// Forgets keys that were claimed longer ago than window and clock skew.
+    /// Removes keys whose claims are older than the window plus twice the clock skew.
     pub fn expire(&mut self, now_ms: u64, window: Duration) {
         let keep = millis(window) + 2 * millis(CLOCK_SKEW);
-        while let Some((at_ms, key)) = self.ages.front().copied() {
+        while let Some((at_ms, key)) = self.by_age.front().copied() {
             if at_ms + keep > now_ms {
                 return;
             }
-            self.ages.pop_front();
-            // A key that was forfeited and claimed again stands in the queue twice.
+            self.by_age.pop_front();
+            // A key that was forfeited and claimed again is in the queue twice.
             if self
                 .holders
                 .get(&key)
@@ -135,11 +136,11 @@
     }
 }
 
-/// Says whether a key made at `made_ms` is inside the window at `now_ms`.
+/// Returns whether a key created at `made_ms` is within the window at `now_ms`.
 pub fn in_window(made_ms: u64, now_ms: u64, window: Duration) -> bool {
-    let young = now_ms <= made_ms.saturating_add(millis(window));
+    let not_expired = now_ms <= made_ms.saturating_add(millis(window));
     let not_ahead = made_ms <= now_ms.saturating_add(millis(CLOCK_SKEW));
-    young && not_ahead
+    not_expired && not_ahead
 }
 
 fn millis(span: Duration) -> u64 {
--- a/crates/ploverwick_claims/src/scribe.rs
+++ b/crates/ploverwick_claims/src/scribe.rs
@@ -1,4 +1,4 @@
-//! Gathers claims into batches and answers them once the log shows how they ended.
+//! Batches the claims of a partition and answers them once the log shows their outcome.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,63 +7,63 @@
 
 use crate::partition::{Holder, Partition, Record, in_window};
 
-/// The most claims appended as one batch.
-const MAX_BATCH: usize = 512;
+/// The maximum number of records in one batch.
+const MAX_BATCH_RECORDS: usize = 512;
 
-/// Spans that a scribe keeps to.
+/// Intervals and timeouts of a scribe.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// How often a batch is appended.
-    pub batch: Duration,
+    /// The minimum interval between batches.
+    pub batch_interval: Duration,
     /// How long a key is remembered.
     pub window: Duration,
-    /// How long the log may take to confirm.
+    /// How long the log may take to confirm a claim.
     pub timeout: Duration,
 }
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The request holds the key.
     Won,
     /// Another request holds the key.
     Lost(Holder),
-    /// The key is outside the window, or records of its time are lost.
+    /// The key is outside the window, or records from the time of the key are lost.
     Expired,
     /// The log did not confirm in time. The claim may still take effect.
     Unconfirmed,
 }
 
-/// An answer to give.
+/// The answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// The request that asked.
+    /// The request that submitted the claim.
     pub request: Request,
-    /// How its claim ended.
+    /// The outcome of its claim.
     pub outcome: Outcome,
 }
 
-/// A claim to decide.
+/// A claim or forfeit to append.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// What would be appended.
+pub struct ClaimRequest {
+    /// The record to append.
     pub record: Record,
-    /// When the key was made, in milliseconds since the Unix epoch.
+    /// When the key was created, in milliseconds since the Unix epoch.
     pub made_ms: u64,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingClaim {
     record: Record,
-    asked: Moment,
+    submitted_at: Moment,
 }
 
-/// The scribe of one partition.
+/// Appends and answers the claims of one partition.
 #[derive(Debug)]
 pub struct Scribe {
     config: Config,
     partition: Partition,
-    waiting: BTreeMap<Request, Waiting>,
+    pending: BTreeMap<Request, PendingClaim>,
     unsent: Vec<Record>,
     caught_up: bool,
     appending: bool,
@@ -71,12 +71,12 @@
 }
 
 impl Scribe {
-    /// Starts before the first record of the stream.
+    /// Creates a scribe that has read no records of the stream.
     pub fn new(config: Config) -> Self {
         Self {
             config,
             partition: Partition::new(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             unsent: Vec::new(),
             caught_up: false,
             appending: false,
@@ -84,38 +84,39 @@
         }
     }
 
-    /// Returns the partition as far as it was read.
+    /// Returns the partition's state as far as the stream was read.
     pub fn partition(&self) -> &Partition {
         &self.partition
     }
 
-    /// Returns the number of claims that wait for the log.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Returns the number of claims that await confirmation by the log.
+    pub fn pending(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Takes a claim or a forfeit in. An answer that needs no append is given at once.
-    pub fn ask(&mut self, ask: Ask, now_ms: u64, now: Moment) -> Option<Answer> {
-        let request = ask.record.request.clone();
+    /// Accepts a claim or a forfeit. Returns the answer at once if it needs no append.
+    pub fn submit(&mut self, claim: ClaimRequest, now_ms: u64, now: Moment) -> Option<Answer> {
+        let request = claim.record.request.clone();
         let answer = |outcome| {
             Some(Answer {
                 request: request.clone(),
                 outcome,
             })
         };
-        if ask.record.forfeit {
-            self.unsent.push(ask.record);
+        if claim.record.forfeit {
+            self.unsent.push(claim.record);
             return answer(Outcome::Won);
         }
-        if !in_window(ask.made_ms, now_ms, self.config.window) {
+        if !in_window(claim.made_ms, now_ms, self.config.window) {
             return answer(Outcome::Expired);
         }
-        if !self.partition.covers(ask.made_ms) {
+        if !self.partition.covers(claim.made_ms) {
             return answer(Outcome::Expired);
         }
-        if let Some(holder) = self.partition.holder(&ask.record.key) {
-            // The fold may lag, but a held key can only have been forfeited since: losing is safe.
-            let mine = holder.request == ask.record.request;
+        if let Some(holder) = self.partition.holder(&claim.record.key) {
+            // The partition's state may lag behind the log, but a held key can only have been
+            // forfeited since, so it is safe to report the claim as lost.
+            let mine = holder.request == claim.record.request;
             let outcome = if mine {
                 Outcome::Won
             } else {
@@ -123,12 +124,12 @@
             };
             return answer(outcome);
         }
-        self.unsent.push(ask.record.clone());
-        let waiting = Waiting {
-            record: ask.record,
-            asked: now,
+        self.unsent.push(claim.record.clone());
+        let pending = PendingClaim {
+            record: claim.record,
+            submitted_at: now,
         };
-        self.waiting.insert(request, waiting);
+        self.pending.insert(request, pending);
         None
     }
 
@@ -136,39 +137,39 @@
     pub fn batch(&mut self, now: Moment) -> Option<Vec<Record>> {
         let due = self
             .last_batch
-            .is_none_or(|last| now >= last + self.config.batch);
+            .is_none_or(|last| now >= last + self.config.batch_interval);
         if self.unsent.is_empty() || self.appending || !due || !self.caught_up {
             return None;
         }
         self.last_batch = Some(now);
         self.appending = true;
-        let count = self.unsent.len().min(MAX_BATCH);
+        let count = self.unsent.len().min(MAX_BATCH_RECORDS);
         Some(self.unsent.drain(..count).collect())
     }
 
-    /// Says that an append ended. Its effect is learned from the stream alone.
+    /// Records the end of an append. Its effect is only learned from the stream.
     pub fn appended(&mut self) {
         self.appending = false;
     }
 
-    /// Says that an append certainly had no effect, so that its records are sent again.
+    /// Queues the records of an append again that certainly had no effect.
     pub fn not_appended(&mut self, records: Vec<Record>) {
         self.appending = false;
-        let wanted = records
+        let still_needed = records
             .into_iter()
-            .filter(|record| record.forfeit || self.waiting.contains_key(&record.request));
-        let again: Vec<Record> = wanted.collect();
-        self.unsent.splice(0..0, again);
+            .filter(|record| record.forfeit || self.pending.contains_key(&record.request));
+        let retried: Vec<Record> = still_needed.collect();
+        self.unsent.splice(0..0, retried);
     }
 
-    /// Takes the next record of the stream into account.
+    /// Applies the next record of the stream and returns the answer that it decides.
     pub fn apply(&mut self, offset: Offset, at_ms: u64, record: &Record) -> Option<Answer> {
         self.partition.apply(offset, at_ms, record);
         if record.forfeit {
             return None;
         }
-        let waiting = self.waiting.remove(&record.request)?;
-        let holder = self.partition.holder(&waiting.record.key)?;
+        let pending = self.pending.remove(&record.request)?;
+        let holder = self.partition.holder(&pending.record.key)?;
         let outcome = if holder.request == record.request {
             Outcome::Won
         } else {
@@ -180,23 +181,23 @@
         })
     }
 
-    /// Says that the stream was read to its end.
+    /// Records that the stream was read to its end. Batches are appended only after that.
     pub fn caught_up(&mut self) {
         self.caught_up = true;
     }
 
-    /// Gives up claims that have waited too long, and forgets old keys.
+    /// Answers claims that have timed out, and removes expired keys.
     pub fn tick(&mut self, now_ms: u64, now: Moment) -> Vec<Answer> {
         self.partition.expire(now_ms, self.config.window);
         let timeout = self.config.timeout;
-        let late: Vec<Request> = self
-            .waiting
+        let timed_out: Vec<Request> = self
+            .pending
             .iter()
-            .filter(|(_, waiting)| now >= waiting.asked + timeout)
+            .filter(|(_, pending)| now >= pending.submitted_at + timeout)
             .map(|(request, _)| request.clone())
             .collect();
-        let answers = late.into_iter().map(|request| {
-            self.waiting.remove(&request);
+        let answers = timed_out.into_iter().map(|request| {
+            self.pending.remove(&request);
             self.unsent
                 .retain(|record| record.request != request || record.forfeit);
             Answer {
--- a/crates/ploverwick_daemon/src/controllers/claims.rs
+++ b/crates/ploverwick_daemon/src/controllers/claims.rs
@@ -7,7 +7,7 @@
 
 use ploverwick_claims::Key;
 use ploverwick_claims::partition::{Holder, Record};
-use ploverwick_claims::scribe::{Answer, Ask, Config, Outcome, Scribe};
+use ploverwick_claims::scribe::{Answer, ClaimRequest, Config, Outcome, Scribe};
 use ploverwick_names::{Incarnation, Instance, Life, Request};
 use ploverwick_ports::client::Fault;
 use ploverwick_ports::log::Batch;
@@ -136,12 +136,12 @@
     answered.await.unwrap_or(Outcome::Unconfirmed)
 }
 
-fn read_ask(ask: &ClaimAsk) -> Option<Ask> {
+fn read_ask(ask: &ClaimAsk) -> Option<ClaimRequest> {
     let life = Life {
         instance: Instance::new(&ask.instance).ok()?,
         incarnation: Incarnation(ask.incarnation),
     };
-    Some(Ask {
+    Some(ClaimRequest {
         record: Record {
             key: Key::from_bytes(&ask.key).ok()?,
             request: Request::new(&ask.request).ok()?,
@@ -164,7 +164,7 @@
 async fn run(node: Arc<Node>, partition: u32, mut asks: mpsc::Receiver<Asked>) {
     let claims = &node.settings.claims;
     let mut scribe = Scribe::new(Config {
-        batch: claims.batch(),
+        batch_interval: claims.batch(),
         window: claims.window(),
         timeout: claims.timeout(),
     });
@@ -180,7 +180,7 @@
             asked = asks.recv() => {
                 let Some(Asked { ask, answer }) = asked else { break };
                 waiting.insert(ask.record.request.clone(), answer);
-                let answered = scribe.ask(ask, now_millis(), node.now());
+                let answered = scribe.submit(ask, now_millis(), node.now());
                 reply(&mut waiting, answered);
             }
             batch = read.recv() => {
--- a/crates/ploverwick_daemon/src/scribes.rs
+++ b/crates/ploverwick_daemon/src/scribes.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Mutex;
 
-use ploverwick_claims::scribe::{Ask, Outcome};
+use ploverwick_claims::scribe::{ClaimRequest, Outcome};
 use ploverwick_names::Request;
 use tokio::sync::{mpsc, oneshot};
 
@@ -14,7 +14,7 @@
 
 /// A claim on its way to a scribe.
 pub(crate) struct Asked {
-    pub(crate) ask: Ask,
+    pub(crate) ask: ClaimRequest,
     pub(crate) answer: oneshot::Sender<Outcome>,
 }
 
--- a/crates/ploverwick_scenario/src/claims.rs
+++ b/crates/ploverwick_scenario/src/claims.rs
@@ -5,7 +5,7 @@
 
 use ploverwick_claims::Key;
 use ploverwick_claims::partition::Record;
-use ploverwick_claims::scribe::{Answer, Ask, Config, Outcome, Scribe};
+use ploverwick_claims::scribe::{Answer, ClaimRequest, Config, Outcome, Scribe};
 use ploverwick_names::{Caller, Incarnation, Instance, Life, Moment, Offset, Request};
 
 const WINDOW: Duration = Duration::from_mins(10);
@@ -149,12 +149,12 @@
             forfeit: false,
         };
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        let ask = Ask {
+        let ask = ClaimRequest {
             record,
             made_ms: self.now_ms().saturating_sub(age),
         };
         let (now_ms, now) = (self.now_ms(), self.now);
-        let answer = self.desks[scribe].scribe.ask(ask, now_ms, now);
+        let answer = self.desks[scribe].scribe.submit(ask, now_ms, now);
         self.answered(answer);
     }
 
@@ -176,12 +176,12 @@
         };
         self.given_back.insert(request(name));
         self.note(&format!("{name} gives its key back at scribe {scribe}"));
-        let ask = Ask {
+        let ask = ClaimRequest {
             record,
             made_ms: self.now_ms(),
         };
         let (now_ms, now) = (self.now_ms(), self.now);
-        let _ = self.desks[scribe].scribe.ask(ask, now_ms, now);
+        let _ = self.desks[scribe].scribe.submit(ask, now_ms, now);
     }
 
     /// Replaces a scribe by a new one that knows nothing.
@@ -302,7 +302,7 @@
 
 fn new_scribe() -> Scribe {
     Scribe::new(Config {
-        batch: BATCH,
+        batch_interval: BATCH,
         window: WINDOW,
         timeout: TIMEOUT,
     })
