--- a/crates/ploverwick_daemon/src/admin.rs
+++ b/crates/ploverwick_daemon/src/admin.rs
@@ -95,9 +95,9 @@
 fn status(node: &Node) -> Status {
     let members = lock(&node.members);
     let members = members.members().map(|member| MemberStatus {
-        instance: member.news.life.instance.to_string(),
-        incarnation: member.news.life.incarnation.0,
-        state: member.news.state.name().to_owned(),
+        instance: member.update.life.instance.to_string(),
+        incarnation: member.update.life.incarnation.0,
+        state: member.update.state.name().to_owned(),
     });
     let members = members.collect();
     let listing = node.listing.borrow().clone();
--- a/crates/ploverwick_daemon/src/controllers/claims.rs
+++ b/crates/ploverwick_daemon/src/controllers/claims.rs
@@ -118,7 +118,7 @@
 /// Returns the instance that should be the scribe of a partition. Any instance may be: the choice
 /// only saves appends.
 fn scribe_of(node: &Node, partition: u32) -> Option<Instance> {
-    let able = lock(&node.members).able();
+    let able = lock(&node.members).eligible();
     listing::chosen(&stream(partition), &able)
 }
 
--- a/crates/ploverwick_daemon/src/controllers/members.rs
+++ b/crates/ploverwick_daemon/src/controllers/members.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ploverwick_members::{Action, News, State};
+use ploverwick_members::{Action, State, Update};
 use ploverwick_names::{Incarnation, Instance, Life};
 use ploverwick_ports::roster::Listing;
 use ploverwick_timeline::clock::Stamp;
@@ -49,7 +49,7 @@
 fn take_listing(node: &Arc<Node>, read: Listing) {
     let instances = listing::instances(&read);
     let now = node.now();
-    let actions = lock(&node.members).listed(&instances, now);
+    let actions = lock(&node.members).apply_list(&instances, now);
     // Whoever is not on the list is not counted by the others either.
     if instances.contains_key(&node.life.instance) {
         node.listed.get_or_init(|| now);
@@ -81,7 +81,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        let actions = lock(&node.members).beat(node.now());
+        let actions = lock(&node.members).tick(node.now());
         take(&node, actions);
     }
 }
@@ -93,7 +93,7 @@
             Action::Probe(target) => {
                 tokio::spawn(probe(Arc::clone(node), target));
             }
-            Action::Relay { helper, target } => {
+            Action::IndirectProbe { helper, target } => {
                 tokio::spawn(relay(Arc::clone(node), helper, target));
             }
             Action::Changed(life, state) => {
@@ -125,13 +125,13 @@
     if call(&node, &target, "").await.is_some() {
         return;
     }
-    let helpers = lock(&node.members).unanswered(&target);
+    let helpers = lock(&node.members).probe_timed_out(&target);
     if helpers.is_empty() {
         give_up(&node, &target);
         return;
     }
     let asked = helpers.into_iter().filter_map(|action| match action {
-        Action::Relay { helper, target } => {
+        Action::IndirectProbe { helper, target } => {
             Some(tokio::spawn(relay(Arc::clone(&node), helper, target)))
         }
         _ => None,
@@ -147,7 +147,7 @@
 }
 
 fn give_up(node: &Arc<Node>, target: &Instance) {
-    let action = lock(&node.members).unreachable(target, node.now());
+    let action = lock(&node.members).mark_unreachable(target, node.now());
     take(node, action.into_iter().collect());
 }
 
@@ -187,7 +187,7 @@
     let mut members = lock(&node.members);
     Probe {
         from: Some(to_wire(members.me())),
-        news: members.news().iter().map(to_wire).collect(),
+        news: members.take_updates().iter().map(to_wire).collect(),
         table: node.in_force.borrow().version.0,
         relay_to: relay_to.to_owned(),
         stamp: node.recorder.clock().tick().0,
@@ -217,7 +217,7 @@
     let mut members = lock(&node.members);
     Some(Ack {
         from: Some(to_wire(members.me())),
-        news: members.news().iter().map(to_wire).collect(),
+        news: members.take_updates().iter().map(to_wire).collect(),
         table: node.in_force.borrow().version.0,
         relayed,
         stamp: node.recorder.clock().tick().0,
@@ -238,16 +238,16 @@
     {
         let mut members = lock(&node.members);
         if let Some(from) = from.and_then(from_wire) {
-            actions.extend(members.hear(&from, true, now));
+            actions.extend(members.apply_update(&from, true, now));
         }
         for item in news.iter().filter_map(from_wire) {
-            actions.extend(members.hear(&item, false, now));
+            actions.extend(members.apply_update(&item, false, now));
         }
     }
     take(node, actions);
 }
 
-fn to_wire(news: &News) -> WireNews {
+fn to_wire(news: &Update) -> WireNews {
     WireNews {
         instance: news.life.instance.to_string(),
         incarnation: news.life.incarnation.0,
@@ -262,8 +262,8 @@
     }
 }
 
-fn from_wire(news: &WireNews) -> Option<News> {
-    Some(News {
+fn from_wire(news: &WireNews) -> Option<Update> {
+    Some(Update {
         life: Life {
             instance: Instance::new(&news.instance).ok()?,
             incarnation: Incarnation(news.incarnation),
--- a/crates/ploverwick_daemon/src/controllers/owners.rs
+++ b/crates/ploverwick_daemon/src/controllers/owners.rs
@@ -155,7 +155,7 @@
         node.owners.retain(listed);
         lock(&node.endpoint_status).retain(|endpoint, _| listed(endpoint));
     }
-    let able = lock(&node.members).able();
+    let able = lock(&node.members).eligible();
     desired.refresh(&listing, able);
     let members = lock(&node.members);
     let standing = |life: &_| {
--- a/crates/ploverwick_daemon/src/controllers/table.rs
+++ b/crates/ploverwick_daemon/src/controllers/table.rs
@@ -146,6 +146,6 @@
 }
 
 fn is_chosen(node: &Node) -> bool {
-    let able = lock(&node.members).able();
+    let able = lock(&node.members).eligible();
     listing::chosen(STREAM, &able).is_some_and(|chosen| chosen == node.life.instance)
 }
--- a/crates/ploverwick_daemon/src/daemon.rs
+++ b/crates/ploverwick_daemon/src/daemon.rs
@@ -253,7 +253,7 @@
         refresh: ownership.refresh(),
     };
     let membership = ploverwick_members::Config {
-        suspect: settings.membership.suspect(),
+        suspect_timeout: settings.membership.suspect(),
         list_lag: settings.membership.list_lag(),
     };
     let start = Moment::default();
--- a/crates/ploverwick_daemon/src/listing.rs
+++ b/crates/ploverwick_daemon/src/listing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ploverwick_members::Listed;
+use ploverwick_members::ListEntry;
 use ploverwick_names::{Endpoint, Instance};
 use ploverwick_placement::{choose, even};
 use ploverwick_ports::roster::{EndpointEntry, Listing, Serves, State};
@@ -31,10 +31,10 @@
 }
 
 /// Returns the instances as membership takes them.
-pub(crate) fn instances(listing: &Listing) -> BTreeMap<Instance, Listed> {
+pub(crate) fn instances(listing: &Listing) -> BTreeMap<Instance, ListEntry> {
     let entries = listing.instances.iter();
     let listed = entries.map(|entry| {
-        let listed = Listed {
+        let listed = ListEntry {
             address: entry.peers,
             leaving: entry.state == State::Leaving,
         };
--- a/crates/ploverwick_daemon/src/node.rs
+++ b/crates/ploverwick_daemon/src/node.rs
@@ -105,6 +105,6 @@
 
     /// Returns the number of instances that share fleet-wide budgets.
     pub(crate) fn fleet_size(&self) -> usize {
-        lock(&self.members).able().len().max(1)
+        lock(&self.members).eligible().len().max(1)
     }
 }
--- a/crates/ploverwick_members/src/controller.rs
+++ b/crates/ploverwick_members/src/controller.rs
@@ -1,4 +1,4 @@
-//! Decides whom to probe, whom to suspect and what to tell.
+//! Decides which member to probe, when to suspect it and which updates to send.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -7,62 +7,62 @@
 use ploverwick_names::{Incarnation, Instance, Life, Moment};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::{Member, News, State};
+use crate::{Member, State, Update};
 
-/// How many peers are asked to probe a silent member.
-const HELPERS: usize = 2;
-/// The most changes that travel on one message.
-const NEWS_PER_MESSAGE: usize = 8;
-/// How many messages carry a change, for each doubling of the fleet.
-const REPEATS_PER_DOUBLING: u32 = 3;
+/// The number of peers asked to probe a member that did not respond.
+const INDIRECT_PROBES: usize = 2;
+/// The maximum number of updates per message.
+const MAX_UPDATES_PER_MESSAGE: usize = 8;
+/// The number of messages that carry an update, per doubling of the number of members.
+const RETRANSMITS_PER_DOUBLING: u32 = 3;
 
-/// The spans of membership.
+/// Timeouts of failure detection.
 #[derive(Debug, Clone, Copy)]
 pub struct Config {
-    /// How long a silent member is suspected before it counts as gone.
-    pub suspect: Duration,
-    /// How late the platform's list may be.
+    /// How long a member is suspected before it counts as gone.
+    pub suspect_timeout: Duration,
+    /// The maximum delay of the platform's list.
     pub list_lag: Duration,
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Probe the member.
     Probe(Instance),
     /// Ask `helper` to probe `target`.
-    Relay {
-        /// Who is to probe.
+    IndirectProbe {
+        /// The peer that sends the probe.
         helper: Instance,
-        /// Who is silent.
+        /// The member that did not respond.
         target: Instance,
     },
     /// The member's state changed.
     Changed(Life, State),
-    /// The life's process has certainly ended.
+    /// The process has certainly ended.
     Ended(Life),
 }
 
-/// All members, as this daemon knows them.
+/// The members known to this instance.
 #[derive(Debug)]
 pub struct Controller {
-    me: News,
+    me: Update,
     config: Config,
     members: BTreeMap<Instance, Member>,
-    round: VecDeque<Instance>,
-    rounds: u64,
+    probe_order: VecDeque<Instance>,
+    round: u64,
     outbox: VecDeque<(Instance, u32)>,
-    /// The newest life of each instance that is known to have ended.
+    /// The newest incarnation of each instance that is known to have ended.
     ended: BTreeMap<Instance, Incarnation>,
-    /// Since when lives that others speak of are neither listed nor heard of.
-    absent: BTreeMap<Life, Moment>,
+    /// Since when processes named in records have been neither listed nor heard from.
+    absent_since: BTreeMap<Life, Moment>,
 }
 
 impl Controller {
-    /// Starts knowing only this daemon.
+    /// Creates a controller that knows only this instance.
     pub fn new(me: Life, address: SocketAddr, config: Config) -> Self {
         Self {
-            me: News {
+            me: Update {
                 life: me,
                 state: State::Live,
                 address,
@@ -70,16 +70,16 @@
             },
             config,
             members: BTreeMap::new(),
-            round: VecDeque::new(),
-            rounds: 0,
+            probe_order: VecDeque::new(),
+            round: 0,
             outbox: VecDeque::new(),
             ended: BTreeMap::new(),
-            absent: BTreeMap::new(),
+            absent_since: BTreeMap::new(),
         }
     }
 
-    /// Returns what this daemon says of itself.
-    pub fn me(&self) -> &News {
+    /// Returns the latest update about this instance itself.
+    pub fn me(&self) -> &Update {
         &self.me
     }
 
@@ -88,78 +88,85 @@
         self.members.values()
     }
 
-    /// Returns a member's state; this daemon's own is known too.
+    /// Returns the state of a member or of this instance itself.
     pub fn state(&self, instance: &Instance) -> Option<State> {
         if *instance == self.me.life.instance {
             return Some(self.me.state);
         }
-        self.members.get(instance).map(|member| member.news.state)
+        self.members.get(instance).map(|member| member.update.state)
     }
 
-    /// Returns whether this life may still act on its work. One that leaves still does: it hands
-    /// its work over itself.
+    /// Returns whether this process may still act on its work. A leaving process still does: it
+    /// hands over its work itself.
     pub fn is_present(&self, life: &Life) -> bool {
         if *life == self.me.life {
             return true;
         }
         let member = self.members.get(&life.instance);
         member.is_some_and(|member| {
-            member.news.state != State::Gone && member.news.life.incarnation <= life.incarnation
+            member.update.state != State::Gone && member.update.life.incarnation <= life.incarnation
         })
     }
 
-    /// Returns where a member's peers reach it.
+    /// Returns the address at which peers reach a member.
     pub fn address(&self, instance: &Instance) -> Option<SocketAddr> {
         if *instance == self.me.life.instance {
             return Some(self.me.address);
         }
-        self.members.get(instance).map(|member| member.news.address)
+        self.members
+            .get(instance)
+            .map(|member| member.update.address)
     }
 
-    /// Lists the instances that can take work: this one unless it leaves, and all that are live,
-    /// merely suspected, or listed and not heard of yet. The last are counted so that daemons that
-    /// start together agree from the start; one that never answers is soon suspected, then gone.
-    pub fn able(&self) -> Vec<Instance> {
+    /// Lists the instances that can take work: this one unless it is leaving, and all members that
+    /// are live, suspected, or listed but not heard from yet. The latter are included so that
+    /// instances that start together agree from the start; one that never responds is soon
+    /// suspected and then gone.
+    pub fn eligible(&self) -> Vec<Instance> {
         let others = self.members.values().filter(|member| {
             matches!(
-                member.news.state,
+                member.update.state,
                 State::Joining | State::Live | State::Suspect
             )
         });
-        let mut able: Vec<Instance> = others
-            .map(|member| member.news.life.instance.clone())
+        let mut eligible: Vec<Instance> = others
+            .map(|member| member.update.life.instance.clone())
             .collect();
         if self.me.state == State::Live {
-            able.push(self.me.life.instance.clone());
+            eligible.push(self.me.life.instance.clone());
         }
-        able.sort();
-        able
+        eligible.sort();
+        eligible
     }
 
-    /// Marks this daemon as leaving and tells the others.
+    /// Marks this instance as leaving and broadcasts it.
     pub fn leave(&mut self) {
         self.me.state = State::Leaving;
         self.me.refutation += 1;
-        self.tell(self.me.life.instance.clone());
+        self.queue_update(self.me.life.instance.clone());
     }
 
-    /// Takes the platform's list into account.
-    pub fn listed(&mut self, instances: &BTreeMap<Instance, Listed>, now: Moment) -> Vec<Action> {
+    /// Applies the platform's list of instances.
+    pub fn apply_list(
+        &mut self,
+        instances: &BTreeMap<Instance, ListEntry>,
+        now: Moment,
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         for (instance, listed) in instances {
             if *instance != self.me.life.instance {
-                self.list_one(instance, *listed, now, &mut actions);
+                self.apply_list_entry(instance, *listed, now, &mut actions);
             }
         }
-        let dropped: Vec<Instance> = self
+        let removed: Vec<Instance> = self
             .members
             .iter()
             .filter(|(instance, member)| member.listed && !instances.contains_key(*instance))
             .map(|(instance, _)| instance.clone())
             .collect();
-        for instance in dropped {
+        for instance in removed {
             if let Some(member) = self.members.remove(&instance) {
-                let life = member.news.life;
+                let life = member.update.life;
                 self.ended.insert(instance, life.incarnation);
                 actions.push(Action::Changed(life.clone(), State::Gone));
                 actions.push(Action::Ended(life));
@@ -168,22 +175,23 @@
         actions
     }
 
-    /// Finds out which of the lives that records speak of have ended. A life has ended if its
-    /// instance runs a newer one, or has been neither listed nor heard of for the list's lag.
+    /// Returns the given processes that have ended. A process has ended if its instance runs a
+    /// newer incarnation, or has been neither listed nor heard from for the maximum delay of the
+    /// list.
     pub fn find_ended(&mut self, lives: &[Life], now: Moment) -> Vec<Life> {
-        self.absent.retain(|life, _| lives.contains(life));
+        self.absent_since.retain(|life, _| lives.contains(life));
         let mut found = Vec::new();
         for life in lives {
-            let newest = self.newest_life(&life.instance);
+            let newest = self.newest_incarnation(&life.instance);
             if newest.is_some_and(|newest| newest > life.incarnation) {
                 found.push(life.clone());
                 continue;
             }
             if newest.is_some() {
-                self.absent.remove(life);
+                self.absent_since.remove(life);
                 continue;
             }
-            let since = *self.absent.entry(life.clone()).or_insert(now);
+            let since = *self.absent_since.entry(life.clone()).or_insert(now);
             if now >= since + self.config.list_lag {
                 found.push(life.clone());
             }
@@ -191,27 +199,27 @@
         found
     }
 
-    fn newest_life(&self, instance: &Instance) -> Option<Incarnation> {
+    fn newest_incarnation(&self, instance: &Instance) -> Option<Incarnation> {
         if *instance == self.me.life.instance {
             return Some(self.me.life.incarnation);
         }
         let member = self.members.get(instance);
-        member.map(|member| member.news.life.incarnation)
+        member.map(|member| member.update.life.incarnation)
     }
 
-    fn list_one(
+    fn apply_list_entry(
         &mut self,
         instance: &Instance,
-        listed: Listed,
+        listed: ListEntry,
         now: Moment,
         actions: &mut Vec<Action>,
     ) {
         if let Some(member) = self.members.get_mut(instance) {
             member.listed = true;
-            if listed.leaving && member.news.state < State::Leaving {
-                member.news.state = State::Leaving;
-                member.since = now;
-                actions.push(Action::Changed(member.news.life.clone(), State::Leaving));
+            if listed.leaving && member.update.state < State::Leaving {
+                member.update.state = State::Leaving;
+                member.changed_at = now;
+                actions.push(Action::Changed(member.update.life.clone(), State::Leaving));
             }
             return;
         }
@@ -225,75 +233,80 @@
             State::Joining
         };
         let member = Member {
-            news: News {
+            update: Update {
                 life,
                 state,
                 address: listed.address,
                 refutation: 0,
             },
-            since: now,
+            changed_at: now,
             listed: true,
         };
         self.members.insert(instance.clone(), member);
     }
 
-    /// Starts a beat: whom to probe, and who has been suspected for too long.
-    pub fn beat(&mut self, now: Moment) -> Vec<Action> {
-        let mut actions = self.give_up(now);
-        if let Some(target) = self.next_target() {
+    /// Starts a probe interval: expires suspected members and selects the next member to probe.
+    pub fn tick(&mut self, now: Moment) -> Vec<Action> {
+        let mut actions = self.expire_suspects(now);
+        if let Some(target) = self.next_probe_target() {
             actions.push(Action::Probe(target));
         }
         actions
     }
 
-    fn give_up(&mut self, now: Moment) -> Vec<Action> {
-        let suspect = self.config.suspect;
-        let late: Vec<Instance> = self
+    fn expire_suspects(&mut self, now: Moment) -> Vec<Action> {
+        let suspect = self.config.suspect_timeout;
+        let timed_out: Vec<Instance> = self
             .members
             .iter()
             .filter(|(_, member)| {
-                member.news.state == State::Suspect && now >= member.since + suspect
+                member.update.state == State::Suspect && now >= member.changed_at + suspect
             })
             .map(|(instance, _)| instance.clone())
             .collect();
-        late.into_iter()
+        timed_out
+            .into_iter()
             .filter_map(|instance| self.change(&instance, State::Gone, now))
             .collect()
     }
 
-    /// Takes the next member of the round. Members that are gone stay in it, so that one that was
-    /// only cut off is found again.
-    fn next_target(&mut self) -> Option<Instance> {
-        if self.round.is_empty() {
-            self.rounds += 1;
-            let seed = self.rounds ^ self.me.life.incarnation.0;
+    /// Returns the next member of the probe round. Members that are gone stay in the round, so that
+    /// a member that was only partitioned is found again.
+    fn next_probe_target(&mut self) -> Option<Instance> {
+        if self.probe_order.is_empty() {
+            self.round += 1;
+            let seed = self.round ^ self.me.life.incarnation.0;
             let mut order: Vec<Instance> = self.members.keys().cloned().collect();
             order.sort_by_key(|instance| xxh3_64_with_seed(instance.as_str().as_bytes(), seed));
-            self.round = order.into();
+            self.probe_order = order.into();
         }
-        self.round.pop_front()
+        self.probe_order.pop_front()
     }
 
-    /// Says that a probe was not answered: others are asked to try.
-    pub fn unanswered(&mut self, target: &Instance) -> Vec<Action> {
-        let seed = self.rounds;
+    /// Handles a probe without a response by asking other members to probe the target.
+    pub fn probe_timed_out(&mut self, target: &Instance) -> Vec<Action> {
+        let seed = self.round;
         let mut helpers: Vec<&Instance> = self
             .members
             .iter()
-            .filter(|(instance, member)| *instance != target && member.news.state == State::Live)
+            .filter(|(instance, member)| *instance != target && member.update.state == State::Live)
             .map(|(instance, _)| instance)
             .collect();
         helpers.sort_by_key(|instance| xxh3_64_with_seed(instance.as_str().as_bytes(), seed));
-        let relay = |helper: &Instance| Action::Relay {
+        let probe = |helper: &Instance| Action::IndirectProbe {
             helper: helper.clone(),
             target: target.clone(),
         };
-        helpers.into_iter().take(HELPERS).map(relay).collect()
+        helpers
+            .into_iter()
+            .take(INDIRECT_PROBES)
+            .map(probe)
+            .collect()
     }
 
-    /// Says that nobody reached the member.
-    pub fn unreachable(&mut self, target: &Instance, now: Moment) -> Option<Action> {
-        let state = self.members.get(target)?.news.state;
+    /// Handles a member that neither this instance nor the other members could reach.
+    pub fn mark_unreachable(&mut self, target: &Instance, now: Moment) -> Option<Action> {
+        let state = self.members.get(target)?.update.state;
         let next = match state {
             State::Joining | State::Live => State::Suspect,
             State::Leaving => State::Gone,
@@ -304,130 +317,131 @@
 
     fn change(&mut self, instance: &Instance, state: State, now: Moment) -> Option<Action> {
         let member = self.members.get_mut(instance)?;
-        if member.news.state == state {
+        if member.update.state == state {
             return None;
         }
-        member.news.state = state;
-        member.since = now;
-        let life = member.news.life.clone();
-        self.tell(instance.clone());
+        member.update.state = state;
+        member.changed_at = now;
+        let life = member.update.life.clone();
+        self.queue_update(instance.clone());
         Some(Action::Changed(life, state))
     }
 
-    /// Takes what a peer says into account, of itself or of others. `first_hand` marks what a
-    /// member says of itself in a message that it sent just now.
-    pub fn hear(&mut self, news: &News, first_hand: bool, now: Moment) -> Vec<Action> {
-        if news.life.instance == self.me.life.instance {
-            self.refute(news);
+    /// Applies an update from a peer, about itself or another member. `direct` marks what a member
+    /// says about itself in a message that it has just sent.
+    pub fn apply_update(&mut self, update: &Update, direct: bool, now: Moment) -> Vec<Action> {
+        if update.life.instance == self.me.life.instance {
+            self.refute(update);
             return Vec::new();
         }
-        let ended = self.ended.get(&news.life.instance);
-        if ended.is_some_and(|ended| news.life.incarnation <= *ended) {
+        let ended = self.ended.get(&update.life.instance);
+        if ended.is_some_and(|ended| update.life.incarnation <= *ended) {
             return Vec::new();
         }
-        let Some(member) = self.members.get(&news.life.instance) else {
-            return self.meet(news, first_hand, now);
+        let Some(member) = self.members.get(&update.life.instance) else {
+            return self.add_unlisted(update, direct, now);
         };
-        let known = &member.news;
-        if news.life.incarnation > known.life.incarnation {
-            return self.replace_life(news, now);
+        let known = &member.update;
+        if update.life.incarnation > known.life.incarnation {
+            return self.replace_life(update, now);
         }
-        let newer = (news.refutation, news.state) > (known.refutation, known.state);
-        // A member that answers is not suspect, whatever was said before.
-        let answers =
-            first_hand && matches!(known.state, State::Joining | State::Suspect | State::Gone);
-        let same_life = news.life.incarnation == known.life.incarnation;
-        if !same_life || !(newer || answers) {
+        let newer = (update.refutation, update.state) > (known.refutation, known.state);
+        // A member that responds is not suspect, whatever earlier updates said.
+        let responds =
+            direct && matches!(known.state, State::Joining | State::Suspect | State::Gone);
+        let same_life = update.life.incarnation == known.life.incarnation;
+        if !same_life || !(newer || responds) {
             return Vec::new();
         }
-        let changed = known.state != news.state;
+        let changed = known.state != update.state;
         let listed = member.listed;
-        self.put(news, listed, now);
+        self.insert_member(update, listed, now);
         if changed {
-            self.tell(news.life.instance.clone());
-            return vec![Action::Changed(news.life.clone(), news.state)];
+            self.queue_update(update.life.instance.clone());
+            return vec![Action::Changed(update.life.clone(), update.state)];
         }
         Vec::new()
     }
 
-    fn refute(&mut self, news: &News) {
-        let same = news.life.incarnation == self.me.life.incarnation;
-        let doubted = matches!(news.state, State::Suspect | State::Gone);
-        if same && doubted && news.refutation >= self.me.refutation {
-            self.me.refutation = news.refutation + 1;
-            self.tell(self.me.life.instance.clone());
+    fn refute(&mut self, update: &Update) {
+        let same = update.life.incarnation == self.me.life.incarnation;
+        let suspected = matches!(update.state, State::Suspect | State::Gone);
+        if same && suspected && update.refutation >= self.me.refutation {
+            self.me.refutation = update.refutation + 1;
+            self.queue_update(self.me.life.instance.clone());
         }
     }
 
-    /// Adds a member that the platform does not list yet. Old rumours of the gone are dropped.
-    fn meet(&mut self, news: &News, first_hand: bool, now: Moment) -> Vec<Action> {
-        if news.state == State::Gone && !first_hand {
+    /// Adds a member that is not listed yet. Indirect updates about gone members are dropped,
+    /// because they may be old.
+    fn add_unlisted(&mut self, update: &Update, direct: bool, now: Moment) -> Vec<Action> {
+        if update.state == State::Gone && !direct {
             return Vec::new();
         }
-        self.put(news, false, now);
-        self.tell(news.life.instance.clone());
-        vec![Action::Changed(news.life.clone(), news.state)]
+        self.insert_member(update, false, now);
+        self.queue_update(update.life.instance.clone());
+        vec![Action::Changed(update.life.clone(), update.state)]
     }
 
-    fn replace_life(&mut self, news: &News, now: Moment) -> Vec<Action> {
-        let before = self.members.get(&news.life.instance);
-        let listed = before.is_some_and(|member| member.listed);
-        let earlier = before.map(|member| member.news.life.clone());
-        self.put(news, listed, now);
-        self.tell(news.life.instance.clone());
-        // A member that was only listed had no known life that could have ended.
+    fn replace_life(&mut self, update: &Update, now: Moment) -> Vec<Action> {
+        let known_member = self.members.get(&update.life.instance);
+        let listed = known_member.is_some_and(|member| member.listed);
+        let earlier = known_member.map(|member| member.update.life.clone());
+        self.insert_member(update, listed, now);
+        self.queue_update(update.life.instance.clone());
+        // A member that was only listed had no known process that could have ended.
         let ended = earlier.filter(|life| life.incarnation != Incarnation(0));
         let mut actions: Vec<Action> = ended.map(Action::Ended).into_iter().collect();
-        actions.push(Action::Changed(news.life.clone(), news.state));
+        actions.push(Action::Changed(update.life.clone(), update.state));
         actions
     }
 
-    fn put(&mut self, news: &News, listed: bool, now: Moment) {
+    fn insert_member(&mut self, update: &Update, listed: bool, now: Moment) {
         let member = Member {
-            news: news.clone(),
-            since: now,
+            update: update.clone(),
+            changed_at: now,
             listed,
         };
-        self.members.insert(news.life.instance.clone(), member);
+        self.members.insert(update.life.instance.clone(), member);
     }
 
-    fn tell(&mut self, instance: Instance) {
+    fn queue_update(&mut self, instance: Instance) {
         let size = u32::try_from(self.members.len() + 2).unwrap_or(u32::MAX);
-        let repeats = REPEATS_PER_DOUBLING * (u32::BITS - size.leading_zeros());
-        self.outbox.retain(|(known, _)| *known != instance);
-        self.outbox.push_front((instance, repeats));
+        let retransmits = RETRANSMITS_PER_DOUBLING * (u32::BITS - size.leading_zeros());
+        self.outbox.retain(|(queued, _)| *queued != instance);
+        self.outbox.push_front((instance, retransmits));
     }
 
-    /// Takes the changes that are to travel on the next message.
-    pub fn news(&mut self) -> Vec<News> {
-        let mut news = Vec::new();
-        for _ in 0..self.outbox.len().min(NEWS_PER_MESSAGE) {
-            let Some((instance, repeats)) = self.outbox.pop_front() else {
+    /// Returns the updates to send with the next message.
+    pub fn take_updates(&mut self) -> Vec<Update> {
+        let mut updates = Vec::new();
+        for _ in 0..self.outbox.len().min(MAX_UPDATES_PER_MESSAGE) {
+            let Some((instance, retransmits)) = self.outbox.pop_front() else {
                 break;
             };
-            if let Some(known) = self.known(&instance) {
-                news.push(known.clone());
+            if let Some(update) = self.latest_update(&instance) {
+                updates.push(update.clone());
             }
-            if repeats > 1 {
-                self.outbox.push_back((instance, repeats - 1));
+            if retransmits > 1 {
+                self.outbox.push_back((instance, retransmits - 1));
             }
         }
-        news
+        updates
     }
 
-    fn known(&self, instance: &Instance) -> Option<&News> {
+    fn latest_update(&self, instance: &Instance) -> Option<&Update> {
         if *instance == self.me.life.instance {
             return Some(&self.me);
         }
-        self.members.get(instance).map(|member| &member.news)
+        self.members.get(instance).map(|member| &member.update)
     }
 }
 
-/// What the platform's list says of an instance.
+/// An instance's entry in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listed {
-    /// Where its peers reach it.
+pub struct ListEntry {
+    /// The address for peers.
     pub address: SocketAddr,
-    /// Whether it is about to go.
+    /// Whether it is about to leave.
     pub leaving: bool,
 }
--- a/crates/ploverwick_members/src/lib.rs
+++ b/crates/ploverwick_members/src/lib.rs
@@ -1,17 +1,17 @@
-//! Watches which instances are live.
+//! Membership and failure detection between instances, based on SWIM.
 //!
-//! Three sources agree here: the platform's list, which lags; probes between peers; and what
-//! peers say of each other. Each daemon probes one peer a beat, in a shuffled round, and asks two
-//! others to try when there is no answer, so its traffic does not grow with the fleet. News of
-//! changes travels on probes and their answers. Source of the scheme: Das, Gupta and Motivala,
-//! "SWIM", DSN 2002.
+//! It combines three sources: the platform's list of instances, which lags; probes between peers;
+//! and updates that peers gossip. In each probe interval an instance probes one peer, in a shuffled
+//! round. If the peer does not respond, it asks two other members to probe it, so the traffic of an
+//! instance does not grow with the fleet. Updates are piggybacked on probes and their responses.
+//! Source: Das, Gupta and Motivala, "SWIM", DSN 2002.
 //!
-//! A member counts as *ended* only on proof: a newer life of the same instance, or its
-//! disappearance from the platform's list. Silence makes it *gone*, which is enough to take over
-//! its work and not enough to believe that it has stopped.
+//! A process counts as *ended* only on proof: a newer incarnation of the same instance, or the
+//! instance's removal from the platform's list. Without a response a member is only *gone*, which
+//! lets another instance take over its work but does not prove that it has stopped.
 
 mod controller;
 mod member;
 
-pub use controller::{Action, Config, Controller, Listed};
-pub use member::{Member, News, State};
+pub use controller::{Action, Config, Controller, ListEntry};
+pub use member::{Member, State, Update};
--- a/crates/ploverwick_members/src/member.rs
+++ b/crates/ploverwick_members/src/member.rs
@@ -1,26 +1,26 @@
-//! What is known of one member.
+//! The state of a member.
 
 use std::net::SocketAddr;
 
 use ploverwick_names::{Life, Moment};
 
-/// The state of a member, from better to worse.
+/// The state of a member, from best to worst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// Listed, and not heard of yet.
+    /// Listed by the platform, but not heard from yet.
     Joining,
-    /// It answers.
+    /// It responds to probes.
     Live,
-    /// It did not answer lately.
+    /// It did not respond to recent probes.
     Suspect,
-    /// It said, or the platform says, that it is about to go.
+    /// It is about to leave, according to itself or the platform.
     Leaving,
-    /// It has been silent for too long, or was taken off the list.
+    /// It has been suspected for too long, or was removed from the list.
     Gone,
 }
 
 impl State {
-    /// Returns the state's name.
+    /// Returns the state's name in the status output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Joining => "joining",
@@ -32,26 +32,26 @@
     }
 }
 
-/// What one daemon says of a member.
+/// An update about a member, as instances exchange it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct News {
-    /// The member.
+pub struct Update {
+    /// The member's process.
     pub life: Life,
     /// Its state.
     pub state: State,
-    /// Where its peers reach it.
+    /// The address for peers.
     pub address: SocketAddr,
-    /// Raised by the member itself to refute a suspicion.
+    /// A counter that only the member increments, to refute a suspicion.
     pub refutation: u64,
 }
 
-/// A member as this daemon knows it.
+/// A member, as this instance knows it.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What is said of it.
-    pub news: News,
-    /// When its state changed last.
-    pub since: Moment,
+    /// The latest update about it.
+    pub update: Update,
+    /// When its state last changed.
+    pub changed_at: Moment,
     /// Whether the platform lists it.
     pub listed: bool,
 }
--- a/crates/ploverwick_members/tests/member_states.rs
+++ b/crates/ploverwick_members/tests/member_states.rs
@@ -1,11 +1,11 @@
-//! Members come, fall silent, refute and leave.
+//! State changes of members: joining, suspicion, refutation and leaving.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_members::{Action, Config, Controller, Listed, News, State};
+use ploverwick_members::{Action, Config, Controller, ListEntry, State, Update};
 use ploverwick_names::{Incarnation, Instance, Life, Moment};
 
 const SUSPECT: Duration = Duration::from_secs(2);
@@ -24,14 +24,14 @@
 
 fn controller() -> Controller {
     let config = Config {
-        suspect: SUSPECT,
+        suspect_timeout: SUSPECT,
         list_lag: LIST_LAG,
     };
     Controller::new(life("me", 1), address(), config)
 }
 
-fn list(names: &[&str]) -> BTreeMap<Instance, Listed> {
-    let listed = Listed {
+fn list(names: &[&str]) -> BTreeMap<Instance, ListEntry> {
+    let listed = ListEntry {
         address: address(),
         leaving: false,
     };
@@ -41,8 +41,8 @@
         .collect()
 }
 
-fn news(name: &str, incarnation: u64, state: State, refutation: u64) -> News {
-    News {
+fn update(name: &str, incarnation: u64, state: State, refutation: u64) -> Update {
+    Update {
         life: life(name, incarnation),
         state,
         address: address(),
@@ -55,83 +55,86 @@
 }
 
 #[gtest]
-fn listed_counts_at_once() {
+fn listed_member_is_eligible() {
     let mut members = controller();
-    members.listed(&list(&["me", "b"]), Moment(0));
+    members.apply_list(&list(&["me", "b"]), Moment(0));
     expect_that!(
-        members.able(),
+        members.eligible(),
         elements_are![eq(&instance("b")), eq(&instance("me"))]
     );
     expect_that!(members.state(&instance("b")), some(eq(State::Joining)));
 }
 
 #[gtest]
-fn silence_makes_gone() {
+fn suspect_times_out_as_gone() {
     let mut members = controller();
-    members.listed(&list(&["b"]), Moment(0));
-    members.hear(&news("b", 5, State::Live, 0), true, Moment(0));
-    members.unreachable(&instance("b"), Moment(100));
+    members.apply_list(&list(&["b"]), Moment(0));
+    members.apply_update(&update("b", 5, State::Live, 0), true, Moment(0));
+    members.mark_unreachable(&instance("b"), Moment(100));
     expect_that!(members.is_present(&life("b", 5)), eq(true));
-    let actions = members.beat(Moment(2200));
+    let actions = members.tick(Moment(2200));
     expect_that!(
         actions,
         contains(eq(&Action::Changed(life("b", 5), State::Gone)))
     );
     expect_that!(members.is_present(&life("b", 5)), eq(false));
-    // Silence is no proof of an end.
+    // A missing response does not prove that the process has ended.
     let ended = |action: &Action| matches!(action, Action::Ended(_));
     expect_that!(actions.iter().any(ended), eq(false));
 }
 
 #[gtest]
-fn answer_refutes() {
+fn direct_update_clears_suspicion() {
     let mut members = controller();
-    members.hear(&news("b", 5, State::Live, 0), true, Moment(0));
-    members.unreachable(&instance("b"), Moment(100));
-    members.hear(&news("b", 5, State::Live, 0), true, Moment(200));
+    members.apply_update(&update("b", 5, State::Live, 0), true, Moment(0));
+    members.mark_unreachable(&instance("b"), Moment(100));
+    members.apply_update(&update("b", 5, State::Live, 0), true, Moment(200));
     expect_that!(members.state(&instance("b")), some(eq(State::Live)));
-    // An older rumour does not bring the suspicion back, a newer one does.
-    members.hear(&news("b", 5, State::Live, 1), false, Moment(250));
-    members.hear(&news("b", 5, State::Suspect, 0), false, Moment(300));
+    // An outdated suspicion is ignored; a suspicion with the current refutation counter applies.
+    members.apply_update(&update("b", 5, State::Live, 1), false, Moment(250));
+    members.apply_update(&update("b", 5, State::Suspect, 0), false, Moment(300));
     expect_that!(members.state(&instance("b")), some(eq(State::Live)));
-    members.hear(&news("b", 5, State::Suspect, 1), false, Moment(300));
+    members.apply_update(&update("b", 5, State::Suspect, 1), false, Moment(300));
     expect_that!(members.state(&instance("b")), some(eq(State::Suspect)));
 }
 
 #[gtest]
-fn own_refutation() {
+fn refutes_suspicion_of_itself() {
     let mut members = controller();
-    members.hear(&news("me", 1, State::Suspect, 0), false, Moment(0));
+    members.apply_update(&update("me", 1, State::Suspect, 0), false, Moment(0));
     expect_that!(members.me().refutation, eq(1));
-    let told = members.news();
-    expect_that!(told.iter().any(|news| news.life == life("me", 1)), eq(true));
+    let updates = members.take_updates();
+    expect_that!(
+        updates.iter().any(|update| update.life == life("me", 1)),
+        eq(true)
+    );
 }
 
 #[gtest]
-fn newer_life_ends_older() {
+fn newer_incarnation_ends_older() {
     let mut members = controller();
-    members.hear(&news("b", 5, State::Live, 0), true, Moment(0));
-    let actions = members.hear(&news("b", 6, State::Live, 0), true, Moment(1));
+    members.apply_update(&update("b", 5, State::Live, 0), true, Moment(0));
+    let actions = members.apply_update(&update("b", 6, State::Live, 0), true, Moment(1));
     expect_that!(actions, contains(eq(&Action::Ended(life("b", 5)))));
-    // What is still said of the older life is past.
-    members.hear(&news("b", 5, State::Gone, 9), false, Moment(2));
+    // Updates about the older incarnation are ignored.
+    members.apply_update(&update("b", 5, State::Gone, 9), false, Moment(2));
     expect_that!(members.state(&instance("b")), some(eq(State::Live)));
 }
 
 #[gtest]
-fn off_the_list() {
+fn removal_from_list_ends_member() {
     let mut members = controller();
-    members.listed(&list(&["b"]), Moment(0));
-    members.hear(&news("b", 5, State::Live, 0), true, Moment(0));
-    let actions = members.listed(&list(&[]), Moment(10));
+    members.apply_list(&list(&["b"]), Moment(0));
+    members.apply_update(&update("b", 5, State::Live, 0), true, Moment(0));
+    let actions = members.apply_list(&list(&[]), Moment(10));
     expect_that!(actions, contains(eq(&Action::Ended(life("b", 5)))));
-    // A late rumour does not bring it back.
-    members.hear(&news("b", 5, State::Leaving, 3), false, Moment(20));
+    // A delayed update does not add it again.
+    members.apply_update(&update("b", 5, State::Leaving, 3), false, Moment(20));
     expect_that!(members.state(&instance("b")), none());
 }
 
 #[gtest]
-fn absent_for_long() {
+fn finds_ended_after_list_lag() {
     let mut members = controller();
     let lives = [life("old", 3)];
     expect_that!(members.find_ended(&lives, Moment(0)), len(eq(0)));
@@ -140,7 +143,7 @@
         members.find_ended(&lives, Moment(30_000)),
         elements_are![eq(&lives[0])]
     );
-    members.hear(&news("old", 4, State::Live, 0), true, Moment(40_000));
+    members.apply_update(&update("old", 4, State::Live, 0), true, Moment(40_000));
     expect_that!(
         members.find_ended(&lives, Moment(40_000)),
         elements_are![eq(&lives[0])]
@@ -148,11 +151,11 @@
 }
 
 #[gtest]
-fn round_covers_all() {
+fn probe_round_covers_all_members() {
     let mut members = controller();
-    members.listed(&list(&["a", "b", "c", "d"]), Moment(0));
+    members.apply_list(&list(&["a", "b", "c", "d"]), Moment(0));
     let mut probed: Vec<String> = (0..4)
-        .flat_map(|beat| members.beat(Moment(beat)))
+        .flat_map(|time| members.tick(Moment(time)))
         .filter_map(|action| match action {
             Action::Probe(instance) => Some(instance.to_string()),
             _ => None,
@@ -163,14 +166,14 @@
 }
 
 #[gtest]
-fn bounded_news() {
+fn bounds_updates_per_message() {
     let mut members = controller();
     for index in 0..100 {
-        members.hear(
-            &news(&format!("m{index}"), 1, State::Live, 0),
+        members.apply_update(
+            &update(&format!("m{index}"), 1, State::Live, 0),
             true,
             Moment(0),
         );
     }
-    expect_that!(members.news().len(), le(8));
+    expect_that!(members.take_updates().len(), le(8));
 }
