--- a/crates/ploverwick_codes/src/attempt.rs
+++ b/crates/ploverwick_codes/src/attempt.rs
@@ -1,14 +1,14 @@
 //! The life cycle of one attempt to run a request.
 //!
-//! An attempt starts as [`Unsent`]. Sending it consumes it and gives a [`Sent`] one, which has no
-//! method that ends in class [`Class::NotRun`] except on the word of the endpoint itself.
+//! An attempt starts as [`Unsent`]. Sending it consumes it and returns a [`Sent`] attempt, which
+//! can only end in class [`Class::NotRun`] through a [`Refusal`] of the endpoint or its owner.
 
 use std::marker::PhantomData;
 use std::time::Duration;
 
 use crate::{Class, Code};
 
-/// Marks an attempt of which no byte went to an endpoint.
+/// Marks an attempt of which no byte was sent to an endpoint.
 #[derive(Debug)]
 pub struct Unsent;
 
@@ -23,7 +23,7 @@
     state: PhantomData<S>,
 }
 
-/// How an attempt ended, and what the caller is told.
+/// The result of an attempt, as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
     code: Code,
@@ -40,16 +40,16 @@
         }
     }
 
-    /// Adds a hint of when to come back.
+    /// Adds a hint after which delay to repeat the request.
     #[must_use]
     pub fn retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// Returns what the caller is told of a request of which `earlier` tells the attempts before
-    /// this one. A refusal speaks for its own attempt alone: "not run" is true of the request only
-    /// if no attempt may have run.
+    /// Combines this result with `earlier`, the combined result of the attempts before it. A
+    /// refusal only covers its own attempt: the request counts as not run only if none of its
+    /// attempts may have run.
     #[must_use]
     pub fn after(self, earlier: Self) -> Self {
         match (self.code.class(), earlier.code.class()) {
@@ -63,20 +63,20 @@
         self.code
     }
 
-    /// Returns what happened, for a person to read.
+    /// Returns a human-readable description of the outcome.
     pub fn message(&self) -> &str {
         &self.message
     }
 
-    /// Returns when to come back, if there is a point in it.
+    /// Returns the delay after which to repeat the request, if that makes sense.
     pub fn hint(&self) -> Option<Duration> {
         self.retry_after
     }
 }
 
-/// Proof that an endpoint said itself that it did not run an attempt.
+/// Proof that an endpoint or its owner reported that it did not run an attempt.
 ///
-/// It is made where an endpoint's or owner's refusal is decoded, and nowhere else.
+/// It is only created where an endpoint's or owner's refusal is decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
     code: Code,
@@ -85,7 +85,8 @@
 }
 
 impl Refusal {
-    /// Makes a refusal of a decoded answer; `None` if `code` does not mean "not run".
+    /// Creates a refusal from a decoded response; returns `None` if `code` is not of class
+    /// [`Class::NotRun`].
     pub fn decode(code: Code, message: String, retry_after: Option<Duration>) -> Option<Self> {
         (code.class() == Class::NotRun).then_some(Self {
             code,
@@ -119,7 +120,7 @@
     /// Ends the attempt as not run.
     ///
     /// # Panics
-    /// Panics if `code` is not of class [`Class::NotRun`], which is a mistake in the calling code.
+    /// Panics if `code` is not of class [`Class::NotRun`], which is a bug in the calling code.
     pub fn refuse(self, code: Code, message: impl Into<String>) -> Verdict {
         assert_eq!(code.class(), Class::NotRun, "an unsent attempt did not run");
         Verdict::new(code, message.into())
@@ -138,7 +139,7 @@
 }
 
 impl Attempt<Sent> {
-    /// Ends the attempt with its whole answer delivered.
+    /// Ends the attempt after its complete response was delivered.
     pub fn finish(self) -> Verdict {
         Verdict::new(Code::Done, String::new())
     }
@@ -153,7 +154,7 @@
         Verdict::new(code, message.into())
     }
 
-    /// Ends the attempt as not run, on the endpoint's or owner's own word.
+    /// Ends the attempt as not run, as reported by the endpoint or its owner.
     pub fn refused(self, refusal: Refusal) -> Verdict {
         refusal.into()
     }
--- a/crates/ploverwick_codes/src/diagnostic.rs
+++ b/crates/ploverwick_codes/src/diagnostic.rs
@@ -1,20 +1,20 @@
-//! Numbered findings in files that an operator writes: the table and the settings.
+//! Numbered diagnostics for files that operators write: the table and the settings.
 
 use std::fmt;
 
 macro_rules! rules {
     ($($id:literal $variant:ident $summary:literal $remedy:literal;)*) => {
-        /// A rule that a file can break. `docs/DIAGNOSTICS.md` is generated from this table.
+        /// A rule that a file can violate. `docs/DIAGNOSTICS.md` is generated from this table.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Rule {
             $(#[doc = $summary] $variant,)*
         }
 
         impl Rule {
-            /// Lists every rule by rising number.
+            /// All rules in ascending order.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// Returns the rule's stable number, such as `T003`.
+            /// Returns the rule's stable identifier, such as `T003`.
             pub const fn id(self) -> &'static str {
                 match self { $(Self::$variant => $id,)* }
             }
@@ -24,12 +24,12 @@
                 match self { $(Self::$variant => stringify!($variant),)* }
             }
 
-            /// Returns what is wrong, in one sentence.
+            /// Returns a one-sentence description of the violation.
             pub const fn summary(self) -> &'static str {
                 match self { $(Self::$variant => $summary,)* }
             }
 
-            /// Returns what to do about it.
+            /// Returns the recommended fix.
             pub const fn remedy(self) -> &'static str {
                 match self { $(Self::$variant => $remedy,)* }
             }
@@ -60,18 +60,18 @@
     "S006" FileUnreadable "The file cannot be opened." "Check the path and its permissions.";
 }
 
-/// One finding in a file.
+/// A violation of a rule in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The rule broken.
+    /// The violated rule.
     pub rule: Rule,
-    /// The line, from 1; 0 if the finding concerns the whole file.
+    /// The line number, from 1; 0 if the finding concerns the whole file.
     pub line: u64,
     /// The column's header or the key's path; empty if the finding concerns the whole line.
     pub column: String,
     /// The offending text; empty if there is none.
     pub cell: String,
-    /// What is known beyond the rule's own words; may be empty.
+    /// Details beyond the rule's summary; may be empty.
     pub detail: String,
 }
 
--- a/crates/ploverwick_codes/src/lib.rs
+++ b/crates/ploverwick_codes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Numbered result codes and the typestate that decides their class.
+//! Numbered result codes, and the typestate that enforces their class.
 //!
-//! A [`Code`] says how a request ended. Its [`Class`] says whether the request ran, and only an
-//! [`attempt::Attempt`] that was never written to an endpoint can end with a code of class
-//! [`Class::NotRun`].
+//! A [`Code`] describes how a request ended. Its [`Class`] says whether the request ran. Only an
+//! [`attempt::Attempt`] that was never sent, or that the endpoint or its owner refused, can end
+//! with a code of class [`Class::NotRun`].
 
 pub mod attempt;
 mod code;
--- a/crates/ploverwick_codes/tests/code_table.rs
+++ b/crates/ploverwick_codes/tests/code_table.rs
@@ -1,11 +1,11 @@
-//! The table of codes, and the classes that attempts can end with.
+//! The table of result codes, and the classes with which attempts can end.
 
 use googletest::prelude::*;
 use ploverwick_codes::attempt::{Attempt, Refusal, Verdict};
 use ploverwick_codes::{Class, Code};
 
 #[gtest]
-fn numbers_rise() {
+fn numbers_ascend() {
     let numbers: Vec<u16> = Code::ALL.iter().map(|code| code.number()).collect();
     expect_that!(numbers.windows(2).all(|pair| pair[0] < pair[1]), eq(true));
     for code in Code::ALL {
@@ -14,7 +14,7 @@
 }
 
 #[gtest]
-fn class_by_thousand() {
+fn class_matches_number_range() {
     for code in Code::ALL {
         let class = match code.number() / 1000 {
             1 => Class::Ran,
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn refusal_needs_class() {
+fn refusal_requires_not_run_class() {
     for code in Code::ALL {
         let refusal = Refusal::decode(*code, String::new(), None);
         expect_that!(refusal.is_some(), eq(code.class() == Class::NotRun));
@@ -35,17 +35,17 @@
 
 #[test]
 #[should_panic(expected = "a sent attempt may have run")]
-fn sent_not_run() {
+fn sent_attempt_cannot_end_as_not_run() {
     let _ = Attempt::new().send().fail(Code::Overloaded, "");
 }
 
 #[test]
 #[should_panic(expected = "an unsent attempt did not run")]
-fn unsent_ran() {
+fn unsent_attempt_cannot_end_as_run() {
     let _ = Attempt::new().refuse(Code::Interrupted, "");
 }
 
-fn ended(code: Code) -> Verdict {
+fn verdict(code: Code) -> Verdict {
     match code.class() {
         Class::NotRun => Attempt::new().refuse(code, ""),
         Class::MayHaveRun | Class::Ran => Attempt::new().send().fail(code, ""),
@@ -53,17 +53,17 @@
 }
 
 #[gtest]
-fn told_of_both() {
+fn reports_earlier_attempt_that_may_have_run() {
     for earlier in Code::ALL {
         for later in Code::ALL {
-            let told = ended(*later).after(ended(*earlier));
+            let combined = verdict(*later).after(verdict(*earlier));
             let refusals = [*earlier, *later].map(|code| code.class() == Class::NotRun);
-            let due = if refusals == [false, true] {
+            let expected = if refusals == [false, true] {
                 earlier
             } else {
                 later
             };
-            expect_that!(told.code(), eq(*due), "{earlier}, then {later}");
+            expect_that!(combined.code(), eq(*expected), "{earlier}, then {later}");
         }
     }
 }
