--- a/crates/ploverwick_settings/src/check.rs
+++ b/crates/ploverwick_settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Reads settings and reports every finding.
+//! Reads and validates settings.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -9,15 +9,15 @@
 
 use crate::{Settings, keys};
 
-/// How many edits a key may be away from a known one to be named as its nearest.
-const MAX_DISTANCE: usize = 4;
+/// The maximum edit distance at which a known key is suggested for an unknown one.
+const MAX_EDIT_DISTANCE: usize = 4;
 const LEVELS: [&str; 4] = ["error", "warn", "info", "debug"];
 const FORMATS: [&str; 2] = ["text", "json"];
 
-/// Reads the settings in a file.
+/// Reads the settings from a file.
 ///
 /// # Errors
-/// Returns every finding; a file that cannot be opened is one.
+/// Returns all findings; a file that cannot be opened is one.
 pub fn load(path: &Path) -> Result<Settings, Vec<Diagnostic>> {
     let text = std::fs::read_to_string(path).map_err(|error| {
         let shown = path.display().to_string();
@@ -32,25 +32,25 @@
     read(&text)
 }
 
-/// Reads settings from a text.
+/// Reads settings from TOML text.
 ///
 /// # Errors
-/// Returns every finding: first unknown keys, then what cannot be read, then what is out of range.
+/// Returns all findings: unknown keys first, then deserialization errors or values out of range.
 pub fn read(text: &str) -> Result<Settings, Vec<Diagnostic>> {
-    let tree = DeTable::parse(text).map_err(|error| {
+    let document = DeTable::parse(text).map_err(|error| {
         let line = line_of(text, error.span());
         vec![finding(Rule::NotToml, line, "", "", error.message())]
     })?;
     let mut findings = Vec::new();
-    unknown_keys(text, tree.get_ref(), "", &keys::known(), &mut findings);
+    check_keys(text, document.get_ref(), "", &keys::known(), &mut findings);
     match toml::from_str::<Settings>(text) {
         Ok(settings) => {
-            out_of_range(&settings, &mut findings);
+            check_ranges(&settings, &mut findings);
             if findings.is_empty() {
                 return Ok(settings);
             }
         }
-        Err(error) => findings.push(unreadable(text, &error)),
+        Err(error) => findings.push(deserialize_finding(text, &error)),
     }
     Err(findings)
 }
@@ -70,7 +70,7 @@
     before.map_or(0, |before| before.matches('\n').count() as u64 + 1)
 }
 
-fn unreadable(text: &str, error: &toml::de::Error) -> Diagnostic {
+fn deserialize_finding(text: &str, error: &toml::de::Error) -> Diagnostic {
     let message = error.message();
     let rule = if message.starts_with("missing field") {
         Rule::KeyMissing
@@ -86,7 +86,7 @@
     )
 }
 
-fn unknown_keys(
+fn check_keys(
     text: &str,
     table: &DeTable<'_>,
     prefix: &str,
@@ -97,16 +97,16 @@
         let path = keys::join(prefix, key.get_ref());
         if !known.contains(&path) {
             let line = line_of(text, Some(key.span()));
-            let detail = nearest(&path, known);
+            let detail = suggestion(&path, known);
             findings.push(finding(Rule::KeyUnknown, line, &path, "", &detail));
             continue;
         }
         match value.get_ref() {
-            DeValue::Table(inner) => unknown_keys(text, inner, &path, known, findings),
+            DeValue::Table(inner) => check_keys(text, inner, &path, known, findings),
             DeValue::Array(items) => {
                 for item in items {
                     if let DeValue::Table(inner) = item.get_ref() {
-                        unknown_keys(text, inner, &path, known, findings);
+                        check_keys(text, inner, &path, known, findings);
                     }
                 }
             }
@@ -115,22 +115,22 @@
     }
 }
 
-fn nearest(path: &str, known: &BTreeSet<String>) -> String {
+fn suggestion(path: &str, known: &BTreeSet<String>) -> String {
     let best = known
         .iter()
         .map(|candidate| (strsim::levenshtein(candidate, path), candidate))
         .min();
     match best {
-        Some((distance, candidate)) if distance <= MAX_DISTANCE => {
+        Some((distance, candidate)) if distance <= MAX_EDIT_DISTANCE => {
             format!("The nearest known key is {candidate:?}.")
         }
         _ => String::new(),
     }
 }
 
-fn out_of_range(settings: &Settings, findings: &mut Vec<Diagnostic>) {
-    let mut need = |holds: bool, key: &str, value: String, range: &str| {
-        if !holds {
+fn check_ranges(settings: &Settings, findings: &mut Vec<Diagnostic>) {
+    let mut require = |valid: bool, key: &str, value: String, range: &str| {
+        if !valid {
             let detail = format!("It has to be {range}.");
             findings.push(finding(Rule::ValueOutOfRange, 0, key, &value, &detail));
         }
@@ -162,44 +162,44 @@
         ("store.loads_at_once", u64::from(store.loads_at_once)),
     ];
     for (key, value) in positive {
-        need(value > 0, key, value.to_string(), "above 0");
+        require(value > 0, key, value.to_string(), "above 0");
     }
-    need(
+    require(
         store.loads_per_s > 0.0,
         "store.loads_per_s",
         store.loads_per_s.to_string(),
         "above 0",
     );
-    need(
+    require(
         requests.deadline_max_ms >= requests.deadline_ms,
         "requests.deadline_max_ms",
         requests.deadline_max_ms.to_string(),
         "at least requests.deadline_ms",
     );
-    need(
+    require(
         membership.probe_timeout_ms < membership.beat_ms && membership.probe_timeout_ms > 0,
         "membership.probe_timeout_ms",
         membership.probe_timeout_ms.to_string(),
         "above 0 and below membership.beat_ms",
     );
-    need(
+    require(
         LEVELS.contains(&settings.log.level.as_str()),
         "log.level",
         settings.log.level.clone(),
         "error, warn, info or debug",
     );
-    need(
+    require(
         FORMATS.contains(&settings.log.format.as_str()),
         "log.format",
         settings.log.format.clone(),
         "text or json",
     );
     for service in &settings.services {
-        let slashes = service.prefix.starts_with('/') && service.prefix.ends_with('/');
+        let has_slashes = service.prefix.starts_with('/') && service.prefix.ends_with('/');
         let range = "a path with a slash at both ends, outside /v1/";
-        let outside = !service.prefix.starts_with("/v1/") && service.prefix.len() > 1;
-        need(
-            slashes && outside,
+        let is_outside_v1 = !service.prefix.starts_with("/v1/") && service.prefix.len() > 1;
+        require(
+            has_slashes && is_outside_v1,
             "service.prefix",
             service.prefix.clone(),
             range,
--- a/crates/ploverwick_settings/src/keys.rs
+++ b/crates/ploverwick_settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! The known keys, derived from the example file, which holds every one of them.
+//! The known keys, derived from the example file, which contains every key.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use crate::EXAMPLE;
 
-/// Lists the known keys as dotted paths, without the indexes of lists of tables.
+/// Returns the known keys as dotted paths, without the indexes of arrays of tables.
 pub(crate) fn known() -> BTreeSet<String> {
     let table: Table = EXAMPLE
         .parse()
--- a/crates/ploverwick_settings/src/lib.rs
+++ b/crates/ploverwick_settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon's settings.
+//! The settings of an instance.
 //!
-//! [`read`] takes a TOML text, refuses unknown keys with the nearest known one, and reports every
-//! finding at once. Units stand in the keys' names: `_ms`, `_bytes`, `_per_s`.
+//! [`read`] parses a TOML text and reports all findings at once; for an unknown key it suggests the
+//! nearest known one. The names of keys carry their units: `_ms`, `_bytes`, `_per_s`.
 
 mod check;
 mod keys;
@@ -13,5 +13,5 @@
     Platform, Requests, Service, Settings, Store, TableStream, Timeline,
 };
 
-/// A commented example that holds every key; a test reads it.
+/// A commented example with every key. A test checks that it is valid.
 pub const EXAMPLE: &str = include_str!("../example.toml");
--- a/crates/ploverwick_settings/src/settings.rs
+++ b/crates/ploverwick_settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The shape of the settings.
+//! The structure of the settings file.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,86 +15,86 @@
     )*};
 }
 
-/// All settings of a daemon.
+/// All settings of an instance.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// Who this daemon is.
+    /// The instance's identity.
     pub instance: Instance,
-    /// Where it listens.
+    /// Listening addresses.
     pub listen: Listen,
-    /// Where the platform's services are.
+    /// The platform's services.
     pub platform: Platform,
-    /// What the weight store allows.
+    /// Load limits of the weight store.
     #[serde(default)]
     pub store: Store,
-    /// Bounds at the edges.
+    /// Limits on connections, bodies and queues.
     #[serde(default)]
     pub limits: Limits,
-    /// How requests are handled.
+    /// Deadlines and retries of requests.
     #[serde(default)]
     pub requests: Requests,
-    /// How the table's stream is read.
+    /// Reading of the table's stream.
     #[serde(default)]
     pub table: TableStream,
-    /// How endpoints are owned.
+    /// Ownership of endpoints.
     #[serde(default)]
     pub ownership: Ownership,
-    /// How request keys are claimed.
+    /// Claims of idempotency keys.
     #[serde(default)]
     pub claims: Claims,
-    /// How peers are watched.
+    /// Failure detection between peers.
     #[serde(default)]
     pub membership: Membership,
-    /// How the daemon leaves.
+    /// Graceful shutdown.
     #[serde(default)]
     pub drain: Drain,
-    /// Who may call.
+    /// Authentication of callers.
     #[serde(default)]
     pub access: Access,
-    /// The plain services.
+    /// Plain HTTP services.
     #[serde(default, rename = "service")]
     pub services: Vec<Service>,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: Logging,
-    /// The time line.
+    /// The timeline of events.
     #[serde(default)]
     pub timeline: Timeline,
 }
 
-/// Who a daemon is.
+/// The identity of an instance.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Instance {
     /// The instance's name, unique in the fleet.
     pub name: InstanceName,
-    /// Its failure domain.
+    /// The failure domain that it runs in.
     pub failure_domain: Domain,
-    /// Its region.
+    /// The region that it runs in.
     pub region: String,
 }
 
-/// Where a daemon listens.
+/// Listening addresses of an instance.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For other daemons.
+    /// The address for other instances.
     pub peers: SocketAddr,
-    /// For operators and metrics.
+    /// The address for operators and metrics.
     pub admin: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// The platform's services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    /// The log service.
+    /// The address of the log service.
     pub log: SocketAddr,
-    /// The list of instances.
+    /// The address of the list of instances.
     pub roster: SocketAddr,
-    /// How long to wait for an answer, in milliseconds.
+    /// The request timeout for both services, in milliseconds.
     #[serde(default = "Platform::default_timeout_ms")]
     pub timeout_ms: u64,
-    /// How often to read the list, in milliseconds.
+    /// The interval between reads of the list, in milliseconds.
     #[serde(default = "Platform::default_roster_poll_ms")]
     pub roster_poll_ms: u64,
 }
@@ -109,20 +109,20 @@
     }
 
     millis! {
-        /// Returns how long to wait for an answer.
+        /// Returns the request timeout.
         timeout timeout_ms;
-        /// Returns how often to read the list.
+        /// Returns the interval between reads of the list.
         roster_poll roster_poll_ms;
     }
 }
 
-/// What the weight store allows the whole fleet.
+/// Load limits of the weight store for all instances together.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Store {
-    /// Loads started a second.
+    /// The maximum number of loads started per second.
     pub loads_per_s: f64,
-    /// Loads running at once.
+    /// The maximum number of concurrent loads.
     pub loads_at_once: u32,
 }
 
@@ -135,25 +135,25 @@
     }
 }
 
-/// Bounds at the edges.
+/// Limits on connections, bodies and queues.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a body may take to arrive, in milliseconds.
+    /// The maximum time to receive a body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// The most connections of callers at once.
+    /// The maximum number of concurrent caller connections.
     pub connections: usize,
-    /// The most requests waiting for one endpoint.
+    /// The maximum number of requests queued for one endpoint.
     pub queue_per_endpoint: usize,
-    /// How many bytes of answers are kept for callers that repeat a key.
+    /// The maximum size of the responses stored for repeated keys, in bytes.
     pub kept_answers_bytes: usize,
 }
 
 impl Limits {
     millis! {
-        /// Returns how long a body may take to arrive.
+        /// Returns the maximum time to receive a body.
         body_timeout body_timeout_ms;
     }
 }
@@ -170,17 +170,17 @@
     }
 }
 
-/// How requests are handled.
+/// Deadlines and retries of requests.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Requests {
-    /// The deadline of a request that names none, in milliseconds.
+    /// The default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// The longest deadline that a request may name, in milliseconds.
+    /// The maximum deadline that a request may specify, in milliseconds.
     pub deadline_max_ms: u64,
-    /// How many endpoints may be tried for one request.
+    /// The maximum number of endpoints tried for one request.
     pub attempts: u32,
-    /// Retries allowed per 100 first attempts.
+    /// The number of retries allowed per 100 first attempts.
     pub retries_per_100: u32,
 }
 
@@ -195,21 +195,21 @@
     }
 }
 
-/// How the table's stream is read.
+/// Reading of the table's stream.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct TableStream {
-    /// How long one read waits for news, in milliseconds.
+    /// The long-poll timeout of one read of the log, in milliseconds.
     pub poll_ms: u64,
-    /// How often a snapshot is appended, in milliseconds.
+    /// The interval between snapshots, in milliseconds.
     pub snapshot_ms: u64,
 }
 
 impl TableStream {
     millis! {
-        /// Returns how long one read waits for news.
+        /// Returns the long-poll timeout of one read of the log.
         poll poll_ms;
-        /// Returns how often a snapshot is appended.
+        /// Returns the interval between snapshots.
         snapshot snapshot_ms;
     }
 }
@@ -223,29 +223,29 @@
     }
 }
 
-/// How endpoints are owned.
+/// Ownership of endpoints.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Ownership {
-    /// How long an order may still arrive after its sender ended, in milliseconds.
+    /// How long an order may still take effect after its sender ended, in milliseconds.
     pub order_lag_ms: u64,
-    /// How often a claim is appended again, in milliseconds.
+    /// The interval at which a claim is repeated, in milliseconds.
     pub refresh_ms: u64,
-    /// How often an endpoint is asked for its report, in milliseconds.
+    /// The interval at which an endpoint's report is requested, in milliseconds.
     pub report_ms: u64,
-    /// How old a report may be when it comes, in milliseconds.
+    /// The maximum age of a report on arrival, in milliseconds.
     pub report_lag_ms: u64,
 }
 
 impl Ownership {
     millis! {
-        /// Returns how long an order may still arrive after its sender ended.
+        /// Returns how long an order may still take effect after its sender ended.
         order_lag order_lag_ms;
-        /// Returns how often a claim is appended again.
+        /// Returns the interval at which a claim is repeated.
         refresh refresh_ms;
-        /// Returns how often an endpoint is asked for its report.
+        /// Returns the interval at which an endpoint's report is requested.
         report report_ms;
-        /// Returns how old a report may be when it comes.
+        /// Returns the maximum age of a report on arrival.
         report_lag report_lag_ms;
     }
 }
@@ -261,13 +261,13 @@
     }
 }
 
-/// How request keys are claimed.
+/// Claims of idempotency keys.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Claims {
     /// The number of partitions of keys.
     pub partitions: u32,
-    /// How often a partition's claims are appended, in milliseconds.
+    /// The interval between batches of a partition's claims, in milliseconds.
     pub batch_ms: u64,
     /// How long a key is remembered, in milliseconds.
     pub window_ms: u64,
@@ -277,7 +277,7 @@
 
 impl Claims {
     millis! {
-        /// Returns how often a partition's claims are appended.
+        /// Returns the interval between batches of a partition's claims.
         batch batch_ms;
         /// Returns how long a key is remembered.
         window window_ms;
@@ -297,29 +297,29 @@
     }
 }
 
-/// How peers are watched.
+/// Failure detection between peers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Membership {
-    /// How often a peer is probed, in milliseconds.
+    /// The interval between probes, in milliseconds.
     pub beat_ms: u64,
-    /// How long to wait for a probe's answer, in milliseconds.
+    /// The timeout of a probe, in milliseconds.
     pub probe_timeout_ms: u64,
-    /// How long a silent peer is suspected before it counts as gone, in milliseconds.
+    /// How long an unresponsive peer is suspected before it counts as gone, in milliseconds.
     pub suspect_ms: u64,
-    /// How late the platform's list may be, in milliseconds.
+    /// The maximum delay of the platform's list, in milliseconds.
     pub list_lag_ms: u64,
 }
 
 impl Membership {
     millis! {
-        /// Returns how often a peer is probed.
+        /// Returns the interval between probes.
         beat beat_ms;
-        /// Returns how long to wait for a probe's answer.
+        /// Returns the timeout of a probe.
         probe_timeout probe_timeout_ms;
-        /// Returns how long a silent peer is suspected.
+        /// Returns how long an unresponsive peer is suspected before it counts as gone.
         suspect suspect_ms;
-        /// Returns how late the platform's list may be.
+        /// Returns the maximum delay of the platform's list.
         list_lag list_lag_ms;
     }
 }
@@ -335,13 +335,13 @@
     }
 }
 
-/// How a daemon leaves.
+/// Graceful shutdown.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Drain {
     /// How long running requests may take to finish, in milliseconds.
     pub grace_ms: u64,
-    /// How long the daemon reports that it is not ready before it refuses requests, in
+    /// How long the instance reports that it is not ready before it refuses requests, in
     /// milliseconds.
     pub announce_ms: u64,
 }
@@ -350,7 +350,7 @@
     millis! {
         /// Returns how long running requests may take to finish.
         grace grace_ms;
-        /// Returns how long the daemon reports that it is not ready before it refuses requests.
+        /// Returns how long the instance reports that it is not ready before it refuses requests.
         announce announce_ms;
     }
 }
@@ -364,13 +364,13 @@
     }
 }
 
-/// Who may call.
+/// Authentication of callers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Access {
-    /// Whether a request without a token is taken.
+    /// Whether requests without a token are accepted.
     pub anonymous: bool,
-    /// The callers known by a token.
+    /// The callers that authenticate with a token.
     #[serde(rename = "caller")]
     pub callers: Vec<CallerToken>,
 }
@@ -389,25 +389,25 @@
 pub struct CallerToken {
     /// The caller's name.
     pub name: Caller,
-    /// The text that follows `Authorization: Bearer`.
+    /// The bearer token, as sent after `Authorization: Bearer`.
     pub token: String,
 }
 
 impl std::fmt::Debug for CallerToken {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // The token must not reach a log.
+        // The token must not appear in logs.
         write!(f, "CallerToken({})", self.name)
     }
 }
 
-/// A plain service.
+/// A plain HTTP service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Service {
     /// The prefix of its paths, with a slash at both ends.
     pub prefix: String,
     /// The name by which the platform lists its endpoints.
     pub serves: String,
-    /// Methods whose calls may not be repeated.
+    /// Methods whose requests must not be repeated.
     #[serde(default = "Service::default_not_repeatable")]
     pub not_repeatable: Vec<String>,
 }
@@ -418,7 +418,7 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Logging {
@@ -437,11 +437,11 @@
     }
 }
 
-/// The time line.
+/// The timeline of events.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Timeline {
-    /// The number of events kept.
+    /// The maximum number of events kept.
     pub events: usize,
 }
 
--- a/crates/ploverwick_settings/tests/read_settings.rs
+++ b/crates/ploverwick_settings/tests/read_settings.rs
@@ -1,4 +1,4 @@
-//! Settings are read whole, or with every finding.
+//! Reading settings: valid files, defaults and findings.
 
 use googletest::prelude::*;
 use ploverwick_codes::diagnostic::Rule;
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 
 #[gtest]
-fn example_reads() {
-    let settings = read(EXAMPLE).expect("the example is good");
+fn reads_example() {
+    let settings = read(EXAMPLE).expect("the example is valid");
     expect_that!(settings.instance.name.as_str(), eq("entry-1"));
     expect_that!(settings.services.len(), eq(1));
 }
@@ -19,7 +19,7 @@
         .take_while(|line| !line.starts_with("[store]"))
         .collect();
     let (bare, example) = (read(&bare), read(EXAMPLE));
-    let (bare, example) = (bare.expect("it is good"), example.expect("it is good"));
+    let (bare, example) = (bare.expect("it is valid"), example.expect("it is valid"));
     expect_that!(
         format!("{:?}", bare.limits),
         eq(&format!("{:?}", example.limits))
@@ -43,14 +43,14 @@
 }
 
 #[gtest]
-fn missing_key() {
+fn reports_missing_key() {
     let findings = read("[instance]\nname = \"a\"\n").expect_err("keys are missing");
     expect_that!(findings[0].rule, eq(Rule::KeyMissing));
 }
 
 #[gtest]
-fn token_not_shown() {
-    let settings = read(EXAMPLE).expect("the example is good");
+fn debug_output_omits_token() {
+    let settings = read(EXAMPLE).expect("the example is valid");
     expect_that!(
         format!("{settings:?}"),
         not(contains_substring("replace-me"))
@@ -59,17 +59,17 @@
 
 proptest! {
     #[test]
-    fn never_panics(text in "(\\[|\\]|=|\"|\n|[a-z_.0-9 ]){0,80}") {
+    fn rejects_random_text(text in "(\\[|\\]|=|\"|\n|[a-z_.0-9 ]){0,80}") {
         prop_assert!(read(&text).is_err());
     }
 
     #[test]
-    fn broken_example(at in 0..EXAMPLE.len(), with in "[\\[\\]=\"a-z0-9 \n]") {
+    fn edited_example_does_not_panic(at in 0..EXAMPLE.len(), with in "[\\[\\]=\"a-z0-9 \n]") {
         let mut text = EXAMPLE.to_owned();
         if text.is_char_boundary(at) && text.is_char_boundary(at + 1) {
             text.replace_range(at..=at, &with);
         }
-        // Good or not, the answer comes without a panic.
+        // The result may be settings or findings, but must not be a panic.
         drop(read(&text));
     }
 }
