--- a/crates/ploverwick_scenario/src/claims.rs
+++ b/crates/ploverwick_scenario/src/claims.rs
@@ -5,7 +5,7 @@
 
 use ploverwick_claims::Key;
 use ploverwick_claims::partition::Record;
-use ploverwick_claims::scribe::{Answer, Ask, Config, Outcome, Scribe};
+use ploverwick_claims::scribe::{Answer, ClaimRequest, Config, Outcome, Scribe};
 use ploverwick_names::{Caller, Incarnation, Instance, Life, Moment, Offset, Request};
 
 const KEY_WINDOW: Duration = Duration::from_mins(10);
@@ -42,6 +42,7 @@
 }
 
 /// A scribe and its read position in the stream.
+
 #[derive(Debug)]
 struct ScribeState {
     scribe: Scribe,
@@ -150,12 +151,12 @@
             forfeit: false,
         };
         let age = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
-        let ask = Ask {
+        let ask = ClaimRequest {
             record,
             made_ms: self.now_ms().saturating_sub(age),
         };
         let (now_ms, now) = (self.now_ms(), self.now);
-        let answer = self.scribes[scribe].scribe.ask(ask, now_ms, now);
+        let answer = self.scribes[scribe].scribe.submit(ask, now_ms, now);
         self.handle_answer(answer);
     }
 
@@ -177,12 +178,12 @@
         };
         self.forfeited.insert(request(name));
         self.record_event(&format!("{name} gives its key back at scribe {scribe}"));
-        let ask = Ask {
+        let ask = ClaimRequest {
             record,
             made_ms: self.now_ms(),
         };
         let (now_ms, now) = (self.now_ms(), self.now);
-        let _ = self.scribes[scribe].scribe.ask(ask, now_ms, now);
+        let _ = self.scribes[scribe].scribe.submit(ask, now_ms, now);
     }
 
     /// Restarts a scribe, which loses its state.
@@ -306,7 +307,7 @@
 
 fn new_scribe() -> Scribe {
     Scribe::new(Config {
-        batch: BATCH_INTERVAL,
+        batch_interval: BATCH_INTERVAL,
         window: KEY_WINDOW,
         timeout: CLAIM_TIMEOUT,
     })
--- a/crates/ploverwick_scenario/src/owners.rs
+++ b/crates/ploverwick_scenario/src/owners.rs
@@ -11,7 +11,7 @@
     Adapter, Endpoint, Incarnation, Instance, Life, Moment, Offset, Request, Token, Variant,
     Version,
 };
-use ploverwick_owner::holds::Standing;
+use ploverwick_owner::ownership::Liveness;
 use ploverwick_owner::record::Record;
 
 use daemon::{Daemon, Response};
@@ -209,7 +209,7 @@
         let next = life(index, before.incarnation.0 + 1);
         self.daemons[index] = Daemon::new(next, self.setup);
         for daemon in &mut self.daemons {
-            daemon.holds.ended(&before, self.now);
+            daemon.holds.mark_ended(&before, self.now);
         }
         self.killed.push(KilledLife {
             life: before,
@@ -342,9 +342,9 @@
         let present: Vec<Life> = reachable.map(|(_, daemon)| daemon.life().clone()).collect();
         let standing = |life: &Life| {
             if present.contains(life) {
-                Standing::Present
+                Liveness::Present
             } else {
-                Standing::Gone
+                Liveness::Gone
             }
         };
         let now = self.now;
--- a/crates/ploverwick_scenario/src/owners/daemon.rs
+++ b/crates/ploverwick_scenario/src/owners/daemon.rs
@@ -4,10 +4,10 @@
 
 use ploverwick_codes::Code;
 use ploverwick_names::{Incarnation, Life, Moment, Offset, Request, Token, Variant};
-use ploverwick_owner::endpoint::{Action, Config, Job, Machine, Outcome, Report, Rights};
-use ploverwick_owner::holds::{self, Change, Controller};
+use ploverwick_owner::endpoint::{Action, Config, Job, Outcome, Report, Rights, Scheduler};
+use ploverwick_owner::ownership::{self, Change, Controller};
 use ploverwick_owner::record::Record;
-use ploverwick_owner::tenure::{Standing, Tenure};
+use ploverwick_owner::tenure::{Role, Tenure};
 
 use super::{Disabled, Message, ORDER_LAG, Setup, endpoint};
 
@@ -37,7 +37,7 @@
 pub(super) struct Daemon {
     pub(super) holds: Controller,
     tenure: Tenure,
-    machine: Machine,
+    machine: Scheduler,
     disabled: Disabled,
     checks_tokens: bool,
     pub(super) read: usize,
@@ -63,17 +63,17 @@
 
 impl Daemon {
     pub(super) fn new(life: Life, setup: Setup) -> Self {
-        let config = holds::Config {
+        let config = ownership::Config {
             order_lag: ORDER_LAG,
             refresh: Duration::from_hours(1),
         };
-        let machine = Machine::new(Config {
-            queue: 64,
+        let machine = Scheduler::new(Config {
+            queue_capacity: 64,
             report_lag: Duration::ZERO,
             order_lag: ORDER_LAG,
-            patience: Duration::from_secs(1),
+            drain_after: Duration::from_secs(1),
             retry_after: Duration::from_millis(500),
-            load_pause: Duration::from_secs(1),
+            load_backoff: Duration::from_secs(1),
         });
         Self {
             holds: Controller::new(life, config),
@@ -91,7 +91,7 @@
     }
 
     pub(super) fn is_owner(&self) -> bool {
-        self.tenure.standing() == Standing::Owner
+        self.tenure.role() == Role::Owner
     }
 
     fn rights(&self, now: Moment) -> Rights {
@@ -104,7 +104,7 @@
             Disabled::Nothing | Disabled::Fence => {}
             Disabled::Settle => rights.unload = rights.send,
             Disabled::Intent => rights.announce = false,
-            Disabled::Doubt => rights.doubtful.clear(),
+            Disabled::Doubt => rights.pending_unloads.clear(),
         }
         rights
     }
@@ -132,7 +132,7 @@
 
     pub(super) fn step(&mut self, report: &Report, now: Moment) -> Vec<Effect> {
         if !self.faults.responses_lost {
-            self.tenure.engine_is(report.incarnation);
+            self.tenure.set_engine_incarnation(report.incarnation);
             let settled = self.rights(now).unload;
             self.machine.report(report, settled, now);
         }
@@ -148,15 +148,15 @@
 
     pub(super) fn quits(&mut self) -> bool {
         let released = self.holds.owner(&endpoint()) != Some(self.holds.me());
-        let quiet = self.machine.is_quiet();
-        self.tenure.quits(quiet, released)
+        let quiet = self.machine.is_idle();
+        self.tenure.try_settle(quiet, released)
     }
 
     /// Closes the endpoint and returns whether it can be released: no unload is in progress.
     pub(super) fn may_release(&mut self) -> bool {
         self.tenure.closed();
         self.machine.close();
-        !self.machine.has_unloads()
+        !self.machine.has_pending_unloads()
     }
 
     pub(super) fn apply(
@@ -183,7 +183,7 @@
                 let event = format!("reads its intent for {}", variant.adapter);
                 Some((event, self.announced(&variant, true, now)))
             }
-            Change::Overtaken(_, variant) => {
+            Change::Superseded(_, variant) => {
                 let event = format!("was overtaken in its intent for {}", variant.adapter);
                 Some((event, self.announced(&variant, false, now)))
             }
@@ -222,7 +222,7 @@
                     && outcome != Outcome::Unknown
                     && self.disabled != Disabled::Intent
                 {
-                    return self.effects(vec![Action::Settle(variant)]);
+                    return self.effects(vec![Action::LogOutcome(variant)]);
                 }
             }
             Response::Fenced(token, incarnation, true) if !lost => {
@@ -252,7 +252,7 @@
                 token,
                 variant,
             })),
-            Action::Settle(variant) => Some(Effect::Append(Record::Outcome {
+            Action::LogOutcome(variant) => Some(Effect::Append(Record::Outcome {
                 endpoint: endpoint(),
                 life: life.clone(),
                 variant,
