--- a/crates/ploverwick_gateway/src/filters.rs
+++ b/crates/ploverwick_gateway/src/filters.rs
@@ -1,21 +1,22 @@
-//! The chain of filters that takes a request from a client to an endpoint and back.
+//! The filter chain that processes a request from a client.
 //!
-//! `admit` reads it and finds its route, `identify` who calls, `quota` counts it for them, `terms` applies the operators' table, `place` finds an endpoint, `send` hands it over, `relay`
-//! passes the answer on, and `attempt` repeats the last three where that is safe.
+//! `admit` reads the request and finds its route, `authenticate` identifies the caller, `terms` applies the
+//! operators' table, `quota` charges the organisation's quota, `select` chooses an endpoint, `send` sends the
+//! request to it, `relay` forwards the answer, and `retry` repeats the last three steps where that is safe.
 
 mod admit;
-mod attempt;
-mod flight;
-mod identify;
-mod place;
+mod admitted_request;
+mod authenticate;
+mod in_flight;
+mod missing_adapter;
 mod quarantine;
 mod quota;
 mod relay;
 mod reply;
+mod retry;
 mod reuse;
-mod seek;
+mod select;
 mod send;
-mod task;
 mod terms;
 
 use std::sync::Arc;
@@ -36,19 +37,19 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     activity.begin();
-    // Bytes that waited while this process stood still may end with the client's close. The connection is
-    // read once more before anything is done for a client that has left.
+    // If the process was suspended, the client may have closed the connection after sending the request.
+    // Yield once so that the connection is read again before any work is done for a disconnected client.
     tokio::task::yield_now().await;
     let started = Instant::now();
     let mut response = match admit::run(&shared, request).await {
-        Ok(task) => attempt::run(&shared, task).await,
-        Err(refusal) => refusal.into_response(),
+        Ok(request) => retry::run(&shared, request).await,
+        Err(reply) => reply.into_response(),
     };
     metrics::request(response.status(), started.elapsed());
     if shared.is_stopping() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    let ended = relay::Ended::new(activity, shared.clock.clone());
-    response.map(|body| relay::watched(body, ended))
+    let guard = relay::ActivityGuard::new(activity, shared.clock.clone());
+    response.map(|body| relay::guarded(body, guard))
 }
--- a/crates/ploverwick_gateway/src/filters/admit.rs
+++ b/crates/ploverwick_gateway/src/filters/admit.rs
@@ -1,4 +1,4 @@
-//! Reads a request, checks it, and finds its route.
+//! Reads and validates a request and finds its route.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -11,24 +11,27 @@
 use ploverwick_platform::request;
 use tokio::time::Instant;
 
-use super::identify;
+use super::admitted_request::{AdmittedRequest, Terms};
+use super::authenticate;
 use super::quarantine;
 use super::quota;
 use super::reply::Reply;
-use super::task::{Task, Terms};
 use super::terms;
 use crate::shared::Shared;
 
-/// When to come back to an instance that knows no configuration yet.
-const NO_CONFIG: Duration = Duration::from_millis(300);
-/// The longest time for a body to arrive.
-const BODY: Duration = Duration::from_secs(10);
+/// The `Retry-After` of an instance that has no configuration yet.
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// The time within which a request body must arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Admits a request or says why not.
-pub(crate) async fn run(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Task, Reply> {
+/// Admits a request, or returns the reply that refuses it.
+pub(crate) async fn run(
+    shared: &Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<AdmittedRequest, Reply> {
     let received = Instant::now();
     let Some(config) = shared.state().config.clone() else {
-        return Err(Reply::new(Code::NoConfiguration, "").retry_after(NO_CONFIG));
+        return Err(Reply::new(Code::NoConfiguration, "").retry_after(NO_CONFIG_RETRY_AFTER));
     };
     let (head, body) = request.into_parts();
     let host = head.headers.get(header::HOST);
@@ -39,55 +42,55 @@
         return Err(Reply::new(Code::PathUnknown, detail));
     };
     let route = Arc::clone(route);
-    let call = request::read(&head.headers);
-    let caller = identify::run(shared, &config, &route, &call.id, &head.headers)?;
-    let patience = call.timeout.unwrap_or(route.timeout).min(route.timeout);
-    let body = read(body, config.limits.body_bytes).await?;
+    let info = request::read(&head.headers);
+    let caller = authenticate::run(shared, &config, &route, &info.id, &head.headers)?;
+    let timeout = info.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let body = read_body(body, config.limits.body_bytes).await?;
     let service = route.service(rand::random::<f64>());
     let service = Arc::clone(service.expect("a route has a service"));
-    count(shared, &service);
-    // The chosen part is all that goes on; a path in absolute form loses its host.
+    record_request(shared, &service);
+    // Forward only the path and query; an absolute URI loses its host.
     let target = head
         .uri
         .path_and_query()
         .map(http::uri::PathAndQuery::as_str);
     let target = target.and_then(|target| target.parse().ok());
-    let deadline = received + patience;
-    let begin_by = route
+    let deadline = received + timeout;
+    let first_event_deadline = route
         .event_timeout
-        .map_or(deadline, |silence| received + silence);
-    let mut task = Task {
+        .map_or(deadline, |event_timeout| received + event_timeout);
+    let mut admitted = AdmittedRequest {
         terms: Terms::of(&route, caller.organisation()),
         caller,
         method: head.method,
         target: target.unwrap_or(head.uri),
         headers: head.headers,
         body,
-        call,
+        info,
         route,
         service,
         received,
         deadline,
-        begin_by: begin_by.min(deadline),
-        config: config.version,
+        first_event_deadline: first_event_deadline.min(deadline),
+        config_version: config.version,
         fingerprint: OnceLock::new(),
         charge: None,
     };
-    if let Some(refusal) = quarantine::refusal(shared, &task) {
+    if let Some(refusal) = quarantine::refusal(shared, &admitted) {
         return Err(refusal);
     }
-    task.terms = terms::run(shared, &task)?;
-    task.charge = quota::run(shared, &task).await?;
-    Ok(task)
+    admitted.terms = terms::run(shared, &admitted)?;
+    admitted.charge = quota::run(shared, &admitted).await?;
+    Ok(admitted)
 }
 
-/// Reads a body of at most `most` bytes.
-async fn read(body: Incoming, most: usize) -> Result<Bytes, Reply> {
-    let body = Limited::new(body, most).collect();
-    match tokio::time::timeout(BODY, body).await {
+/// Reads a body of at most `max_bytes` bytes.
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Reply> {
+    let body = Limited::new(body, max_bytes).collect();
+    match tokio::time::timeout(BODY_TIMEOUT, body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            let detail = format!("The limit is {most} bytes.");
+            let detail = format!("The limit is {max_bytes} bytes.");
             Err(Reply::new(Code::BodyTooLarge, detail))
         }
         Ok(Err(error)) => Err(Reply::new(Code::BodyMalformed, error.to_string())),
@@ -95,8 +98,8 @@
     }
 }
 
-/// Counts a request towards what the repeats of its service may be.
-fn count(shared: &Shared, service: &Arc<str>) {
+/// Records a request in the retry budget of its service.
+fn record_request(shared: &Shared, service: &Arc<str>) {
     let now = shared.now();
     let mut state = shared.state();
     let budget = state.budgets.entry(Arc::clone(service)).or_default();
--- /dev/null
+++ b/crates/ploverwick_gateway/src/filters/admitted_request.rs
@@ -0,0 +1,118 @@
+//! A request that passed admission.
+
+use std::sync::{Arc, OnceLock};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{HeaderMap, Method, Uri};
+use ploverwick_platform::request::{self, RequestInfo};
+use ploverwick_quarantine::{Fingerprint, Suspect};
+use ploverwick_routes::{Organisation, Route};
+use tokio::time::Instant;
+
+use super::authenticate::Caller;
+use super::quota::Charge;
+
+/// The highest priority value, which is the most urgent in the table. The platform uses the reverse order, in
+/// which 0 is the most urgent.
+pub(super) const MAX_PRIORITY: u8 = 9;
+
+/// The terms under which a request is served.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Terms {
+    /// The priority sent to the endpoint; 0 is the most urgent.
+    pub(crate) priority: u8,
+    /// The weight relative to other requests.
+    pub(crate) weight: f64,
+}
+
+impl Terms {
+    /// Returns the terms of a request that the table does not cover. The organisation's priority takes
+    /// precedence over the route's.
+    pub(crate) fn of(route: &Route, organisation: Option<&Arc<Organisation>>) -> Self {
+        let organisation_priority = organisation.and_then(|organisation| organisation.priority);
+        Self {
+            priority: organisation_priority
+                .unwrap_or(route.priority)
+                .min(MAX_PRIORITY),
+            weight: 1.0,
+        }
+    }
+}
+
+/// An admitted request with everything that determines how it is handled.
+#[derive(Debug)]
+pub(crate) struct AdmittedRequest {
+    pub(crate) method: Method,
+    pub(crate) target: Uri,
+    pub(crate) headers: HeaderMap,
+    pub(crate) body: Bytes,
+    pub(crate) info: RequestInfo,
+    pub(crate) caller: Caller,
+    pub(crate) route: Arc<Route>,
+    pub(crate) service: Arc<str>,
+    pub(crate) received: Instant,
+    /// When the request times out, by the client's or the operator's setting.
+    pub(crate) deadline: Instant,
+    /// When the client disconnects if the answer has not started.
+    pub(crate) first_event_deadline: Instant,
+    /// The terms from the operators' table.
+    pub(crate) terms: Terms,
+    /// The version of the configuration that chose the route.
+    pub(crate) config_version: u64,
+    pub(crate) fingerprint: OnceLock<Fingerprint>,
+    /// The quota units charged to its organisation.
+    pub(crate) charge: Option<Charge>,
+}
+
+impl AdmittedRequest {
+    /// Returns the time until the deadline.
+    pub(crate) fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
+    }
+
+    /// Returns the fingerprint that identifies repeated submissions of this request by the same caller. It is
+    /// computed lazily, as most requests never need it.
+    ///
+    /// The model, the adapter and the service are not included: the content is what crashes an endpoint, and a
+    /// caller who varies them could otherwise crash three endpoints with each combination.
+    pub(crate) fn fingerprint(&self) -> Fingerprint {
+        *self.fingerprint.get_or_init(|| {
+            let path = self.target.path_and_query();
+            let path = path.map_or("", http::uri::PathAndQuery::as_str);
+            let parts = [self.method.as_str(), &self.route.host, path];
+            let parts = parts.into_iter().map(str::as_bytes);
+            let parts = parts.chain(self.caller_identity());
+            Fingerprint::of(parts.chain([&*self.body]))
+        })
+    }
+
+    /// Returns what identifies the caller in the fingerprint. If the organisation is known, data supplied by the
+    /// client is ignored, since a client could use it to impersonate another caller or appear as a new one each
+    /// time.
+    fn caller_identity(&self) -> [&[u8]; 2] {
+        match self.caller.organisation() {
+            Some(organisation) => [b"organisation", organisation.name.as_bytes()],
+            None => request::caller_credentials(&self.headers),
+        }
+    }
+
+    /// Returns the record of this request as a possible cause of an endpoint's crash.
+    pub(crate) fn suspect(&self) -> Suspect {
+        Suspect {
+            fingerprint: self.fingerprint(),
+            id: Arc::from(&*self.info.id),
+        }
+    }
+
+    /// Estimates the number of bytes transferred if the request is sent to another failure domain.
+    pub(crate) fn cross_domain_bytes(&self) -> usize {
+        /// The headers of request and answer.
+        const HEADER_BYTES: usize = 900;
+        /// One event of an answer, including transport headers and chunk framing.
+        const EVENT_BYTES: usize = 80;
+        const TOKENS_PER_EVENT: usize = 5;
+        let events = self.info.answer_tokens as usize / TOKENS_PER_EVENT;
+        HEADER_BYTES + self.body.len() + events * EVENT_BYTES
+    }
+}
--- a/crates/ploverwick_gateway/src/filters/identify.rs
+++ b/crates/ploverwick_gateway/src/filters/authenticate.rs
@@ -1,6 +1,6 @@
-//! Finds out which organisation calls, by the key that a request carries.
+//! Identifies the calling organisation by the API key of a request.
 //!
-//! The key goes no further than this: what follows knows its digest and its holder.
+//! The key itself does not leave this module; later filters see only its digest and its organisation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,23 +10,23 @@
 use ploverwick_platform::request::{self, Credential};
 use ploverwick_routes::{Config, KeyDigest, Organisation, Route};
 
+use super::admitted_request::AdmittedRequest;
 use super::reply::Reply;
-use super::task::Task;
 use crate::metrics;
 use crate::shared::Shared;
 
-/// When to come back to an instance that cannot confirm its configuration: a second is the pace at which it
-/// is confirmed once the store answers.
-const CONFIRMED: Duration = Duration::from_secs(1);
+/// The `Retry-After` of an instance that cannot confirm its configuration. Once the store answers, the
+/// configuration is confirmed every second.
+const STALE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Who calls.
+/// The caller of a request.
 #[derive(Debug, Clone)]
 pub(crate) enum Caller {
-    /// The configuration has no organisations.
+    /// The configuration defines no organisations.
     Unnamed,
-    /// The route needs no key.
+    /// The route requires no key.
     Anonymous,
-    /// The holder of a key.
+    /// The organisation that a valid key belongs to.
     Holder {
         key: KeyDigest,
         organisation: Arc<Organisation>,
@@ -34,7 +34,7 @@
 }
 
 impl Caller {
-    /// Returns the organisation, if there is one.
+    /// Returns the organisation, if the caller has one.
     pub(crate) fn organisation(&self) -> Option<&Arc<Organisation>> {
         match self {
             Self::Unnamed | Self::Anonymous => None,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Returns what endpoints are told.
-    pub(super) fn told(&self) -> request::Caller<'_> {
+    /// Returns the caller as it is sent to endpoints.
+    pub(super) fn for_endpoint(&self) -> request::Caller<'_> {
         match self {
             Self::Unnamed => request::Caller::Unnamed,
             Self::Anonymous => request::Caller::Anonymous,
@@ -52,11 +52,11 @@
     }
 }
 
-/// Finds the caller of the request `id`, whose headers have just been read.
+/// Identifies the caller of the request `id`, whose headers have just been read.
 ///
 /// # Errors
-/// Fails if the route needs a key and the request has no valid one, or if it is not certain enough that
-/// the key was not revoked.
+/// Fails if the route requires a key and the request has no valid one, or if the configuration is so old
+/// that the key may have been revoked.
 pub(super) fn run(
     shared: &Shared,
     config: &Config,
@@ -70,48 +70,55 @@
     if !route.needs_key {
         return Ok(Caller::Anonymous);
     }
-    // The client sent it no later than now, and nothing that was acknowledged a bound ago is unknown. What
-    // becomes of it later is no matter of this bound any more.
+    // The client sent the key no later than now, and every revocation acknowledged longer ago than the bound
+    // is known. Revocations after this point are not subject to the bound for this request.
     if shared.is_stale() {
-        refused(shared, id, &route.name, config.version, "stale");
+        record_refusal(shared, id, &route.name, config.version, "stale");
         return Err(Reply::new(Code::ConfigurationStale, "")
-            .retry_after(CONFIRMED)
+            .retry_after(STALE_RETRY_AFTER)
             .closing());
     }
     let found = match request::credential(headers) {
-        Credential::Key(key) => holder(config, key),
+        Credential::Key(key) => find_holder(config, key),
         Credential::Missing => Err("missing"),
         Credential::Several => Err("several"),
     };
     found.map_err(|cause| {
-        refused(shared, id, &route.name, config.version, cause);
+        record_refusal(shared, id, &route.name, config.version, cause);
         Reply::new(Code::KeyUnknown, "")
     })
 }
 
-/// Finds the caller anew, right before a request is sent: the key may have been taken away while it waited.
+/// Identifies the caller again right before a request is sent, since the key may have been revoked while
+/// the request waited.
 ///
 /// # Errors
-/// Fails if the key is not valid any more.
-pub(super) fn again(shared: &Shared, task: &Task) -> Result<Caller, Reply> {
-    let Caller::Holder { key, .. } = &task.caller else {
-        return Ok(task.caller.clone());
+/// Fails if the key is no longer valid.
+pub(super) fn revalidate(shared: &Shared, request: &AdmittedRequest) -> Result<Caller, Reply> {
+    let Caller::Holder { key, .. } = &request.caller else {
+        return Ok(request.caller.clone());
     };
     let config = shared.state().config.clone();
     let found = match &config {
         Some(config) if config.organisations().is_none() => return Ok(Caller::Anonymous),
-        Some(config) => holder(config, *key),
+        Some(config) => find_holder(config, *key),
         None => Err("no_configuration"),
     };
     found.map_err(|cause| {
         let version = config.map_or(0, |config| config.version);
-        refused(shared, &task.call.id, &task.route.name, version, cause);
+        record_refusal(
+            shared,
+            &request.info.id,
+            &request.route.name,
+            version,
+            cause,
+        );
         Reply::new(Code::KeyUnknown, "")
     })
 }
 
-/// Finds the holder of a key, or says why there is none.
-fn holder(config: &Config, key: KeyDigest) -> Result<Caller, &'static str> {
+/// Finds the organisation that holds a key, or returns the cause for the log and metrics.
+fn find_holder(config: &Config, key: KeyDigest) -> Result<Caller, &'static str> {
     let organisations = config.organisations();
     let holder = organisations.and_then(|organisations| organisations.find_by_key(&key));
     match holder {
@@ -123,9 +130,9 @@
     }
 }
 
-/// Counts a request that is refused for its key, and says by which configuration and how old that can be. The
-/// key is in neither.
-fn refused(shared: &Shared, id: &str, route: &str, version: u64, cause: &'static str) {
+/// Records in the metrics and the log that a request was refused because of its key. The log line includes the
+/// version and maximum age of the configuration; neither contains the key.
+fn record_refusal(shared: &Shared, id: &str, route: &str, version: u64, cause: &'static str) {
     metrics::key_refused(cause);
     let now = shared.now();
     if !shared.lines.allow(now) {
--- a/crates/ploverwick_gateway/src/filters/flight.rs
+++ b/crates/ploverwick_gateway/src/filters/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request under way at an endpoint.
+//! Accounting of a request in flight at an endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use crate::metrics;
 use crate::shared::Shared;
 
-/// Counts a request at an endpoint for as long as it lives.
+/// Counts a request in the load of an endpoint until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     shared: Arc<Shared>,
     pub(crate) endpoint: Arc<str>,
     copy: Option<Copy>,
-    /// The tokens of the prompt, until the answer begins.
-    reading: u32,
-    /// The tokens of other prompts that were to be read before it.
-    ahead: u32,
+    /// The prompt tokens that the endpoint still has to read; 0 once the answer has started.
+    unread_tokens: u32,
+    /// The tokens of other prompts that were queued before this one when it was sent.
+    queued_tokens: u32,
     outcome: Outcome,
 }
 
-impl Flight {
-    pub(crate) fn begin(
+impl InFlight {
+    pub(crate) fn start(
         shared: &Arc<Shared>,
         endpoint: &Arc<str>,
         copy: Option<Copy>,
@@ -31,7 +31,7 @@
     ) -> Self {
         let now = shared.now();
         let mut state = shared.state();
-        let ahead = state.fleet.load(endpoint, now).reading;
+        let queued_tokens = state.fleet.load(endpoint, now).reading;
         state.fleet.record_sent(endpoint, prompt);
         if state.limits.record_send(endpoint, now) {
             metrics::limited_send();
@@ -44,33 +44,35 @@
             shared: Arc::clone(shared),
             endpoint: Arc::clone(endpoint),
             copy,
-            reading: prompt,
-            ahead,
+            unread_tokens: prompt,
+            queued_tokens,
             outcome: Outcome::Abandoned,
         }
     }
 
-    /// Says how the request ended; without it the caller left.
-    pub(crate) fn end(&mut self, outcome: Outcome) {
+    /// Sets the outcome of the request. If it is never set, the client disconnected: [`Outcome::Abandoned`].
+    pub(crate) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Takes in how long the head of the answer took.
-    pub(crate) fn latency(&mut self, taken: Duration) {
+    /// Records the time to the head of the answer.
+    pub(crate) fn record_latency(&mut self, taken: Duration) {
         let mut state = self.shared.state();
-        let tokens = self.ahead.saturating_add(self.reading);
+        let tokens = self.queued_tokens.saturating_add(self.unread_tokens);
         state.fleet.record_latency(&self.endpoint, tokens, taken);
         state
             .fleet
-            .record_prompt_read(&self.endpoint, std::mem::take(&mut self.reading));
+            .record_prompt_read(&self.endpoint, std::mem::take(&mut self.unread_tokens));
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut state = self.shared.state();
-        state.fleet.record_prompt_read(&self.endpoint, self.reading);
+        state
+            .fleet
+            .record_prompt_read(&self.endpoint, self.unread_tokens);
         state.fleet.record_ended(&self.endpoint, self.outcome, now);
         if let Some(copy) = &self.copy {
             state.count_use(&self.endpoint, copy, false);
--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -1,56 +1,56 @@
-//! Keeps requests that crash what runs them from endpoints.
+//! Refuses requests that crash the endpoints that run them.
 
 use std::sync::Arc;
 
 use ploverwick_codes::Code;
 use ploverwick_quarantine::Status;
 
+use super::admitted_request::AdmittedRequest;
 use super::reply::Reply;
-use super::task::Task;
 use crate::controllers::quarantine;
 use crate::metrics;
 use crate::shared::Shared;
 
-/// Returns the refusal of a request under which too many endpoints crashed.
+/// Returns the refusal of a request that crashed too many endpoints; `None` if it may be sent.
 ///
-/// It names no time to come back: the same request is refused for as long as it is asked.
-pub(super) fn refusal(shared: &Shared, task: &Task) -> Option<Reply> {
-    if status(shared, task) != Status::Refused {
+/// The reply has no `Retry-After`, since the same request is refused as long as clients keep sending it.
+pub(super) fn refusal(shared: &Shared, request: &AdmittedRequest) -> Option<Reply> {
+    if status(shared, request) != Status::Refused {
         return None;
     }
     metrics::fatal_refused();
-    let fingerprint = task.fingerprint();
+    let fingerprint = request.fingerprint();
     if shared.lines.allow(shared.now()) {
         spdlog::info!(
             "request_refused id={} fingerprint={} route={} service={}",
-            task.call.id,
+            request.info.id,
             fingerprint,
-            task.route.name,
-            task.service
+            request.route.name,
+            request.service
         );
     }
-    let detail = format!("Its fingerprint is {fingerprint}.");
+    let detail = format!("The request's fingerprint is {fingerprint}.");
     Some(Reply::new(Code::CrashesEndpoints, detail))
 }
 
-/// Returns whether a request may go to a second endpoint as far as those that ended under it say.
-pub(super) fn may_repeat(shared: &Shared, task: &Task) -> bool {
-    status(shared, task).may_repeat()
+/// Returns whether the crashes recorded for a request permit sending it to another endpoint.
+pub(super) fn may_repeat(shared: &Shared, request: &AdmittedRequest) -> bool {
+    status(shared, request).may_repeat()
 }
 
-/// Takes in that a request was answered with success to the end.
-pub(super) fn ended_well(shared: &Arc<Shared>, task: &Task) {
-    if status(shared, task) != Status::Clear {
-        quarantine::reset(shared, &task.fingerprint(), &task.call.id);
+/// Clears the crashes recorded for a request after a complete, successful answer.
+pub(super) fn handle_success(shared: &Arc<Shared>, request: &AdmittedRequest) {
+    if status(shared, request) != Status::Clear {
+        quarantine::reset(shared, &request.fingerprint(), &request.info.id);
     }
 }
 
-fn status(shared: &Shared, task: &Task) -> Status {
+fn status(shared: &Shared, request: &AdmittedRequest) -> Status {
     let now = shared.now();
     let state = shared.state();
-    // Most of the time nothing is counted against any request, and none needs its fingerprint.
+    // Usually no crashes are recorded, so that the fingerprint need not be computed.
     if state.quarantine.is_empty() {
         return Status::Clear;
     }
-    state.quarantine.status(&task.fingerprint(), now)
+    state.quarantine.status(&request.fingerprint(), now)
 }
--- a/crates/ploverwick_gateway/src/filters/quota.rs
+++ b/crates/ploverwick_gateway/src/filters/quota.rs
@@ -1,4 +1,4 @@
-//! Counts a request against the quota of its organisation.
+//! Charges a request to the quota of its organisation.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,39 +10,40 @@
 use ploverwick_routes::{Organisation, Quota};
 use tokio::time::Instant;
 
+use super::admitted_request::AdmittedRequest;
 use super::reply::Reply;
-use super::task::Task;
 use crate::metrics;
 use crate::shared::Shared;
 
-/// The part of its objective for which a request waits for the instance that pools its quota: it can still be
-/// on time. An answer takes a few ms, and up to half a second where that instance has just ended.
-const WAIT_SHARE: f64 = 0.3;
-/// The longest such wait.
-const LONGEST_WAIT: Duration = Duration::from_millis(200);
-/// When to come back if there was no answer: another instance pools by then.
-const ANSWERED: Duration = Duration::from_millis(500);
+/// The fraction of its latency objective for which a request waits for the quota pool, so that it can still
+/// meet the objective. The pool answers within a few ms, or within half a second if the instance that acted as
+/// the pool has just terminated.
+const MAX_WAIT_RATIO: f64 = 0.3;
+/// The maximum time a request waits for the quota pool.
+const MAX_WAIT: Duration = Duration::from_millis(200);
+/// The `Retry-After` if the pool did not answer. Another instance acts as the pool by then.
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a request counted as. It is given back unless the request may have run.
+/// The quota units charged for a request. They are refunded on drop unless the request may have run.
 #[derive(Debug)]
 pub(crate) struct Charge {
     shared: Arc<Shared>,
     organisation: Arc<Organisation>,
     cost: u32,
-    /// When it was granted.
-    granted: Moment,
-    /// Sends that may have run.
+    /// When the units were granted.
+    granted_at: Moment,
+    /// The number of sends that may have run.
     sends: AtomicU32,
 }
 
 impl Charge {
-    /// Takes in that the request goes to an endpoint.
-    pub(super) fn sent(&self) {
+    /// Records that the request is being sent to an endpoint.
+    pub(super) fn record_sent(&self) {
         self.sends.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes in that the endpoint has certainly not run it.
-    pub(super) fn not_run(&self) {
+    /// Records that the endpoint certainly did not run the request.
+    pub(super) fn record_not_run(&self) {
         self.sends.fetch_sub(1, Ordering::Relaxed);
     }
 }
@@ -52,19 +53,20 @@
         if self.sends.load(Ordering::Relaxed) == 0 {
             let name = &self.organisation.name;
             let mut state = self.shared.state();
-            state.allocation.refund(name, self.cost, self.granted);
+            state.allocation.refund(name, self.cost, self.granted_at);
         }
     }
 }
 
-/// A request that waits; it is forgotten when its client leaves.
-struct Waiting<'a> {
+/// A request that waits for a quota decision. It is cancelled on drop, for example when the client
+/// disconnects.
+struct PendingRequest<'a> {
     shared: &'a Shared,
     organisation: &'a Organisation,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
         let mut state = self.shared.state();
         state
@@ -73,72 +75,87 @@
     }
 }
 
-/// Counts a request; `None` if its organisation has no quota.
+/// Charges a request; `None` if its organisation has no quota.
 ///
 /// # Errors
-/// Fails if it is over the quota, or if nobody could tell in time.
-pub(super) async fn run(shared: &Arc<Shared>, task: &Task) -> Result<Option<Charge>, Reply> {
-    let Some(organisation) = task.caller.organisation() else {
+/// Fails if the request is over the quota, or if no decision was made in time.
+pub(super) async fn run(
+    shared: &Arc<Shared>,
+    request: &AdmittedRequest,
+) -> Result<Option<Charge>, Reply> {
+    let Some(organisation) = request.caller.organisation() else {
         return Ok(None);
     };
     let Some(quota) = &organisation.quota else {
         return Ok(None);
     };
-    let cost = quota.cost(task.call.tokens);
-    let patience = task.route.objective.mul_f64(WAIT_SHARE).min(LONGEST_WAIT);
-    let until = Instant::now() + patience;
-    let claim = loop {
-        let claim = take(shared, organisation, quota, cost, until).await;
-        match claim {
-            // There is room before it could not be on time any more.
-            Decision::OverQuota(wait) if Instant::now() + wait < until => {
+    let cost = quota.cost(request.info.tokens);
+    let timeout = request
+        .route
+        .objective
+        .mul_f64(MAX_WAIT_RATIO)
+        .min(MAX_WAIT);
+    let deadline = Instant::now() + timeout;
+    let decision = loop {
+        let decision = acquire(shared, organisation, quota, cost, deadline).await;
+        match decision {
+            // Units become available before the deadline, so wait for them.
+            Decision::OverQuota(wait) if Instant::now() + wait < deadline => {
                 tokio::time::sleep(wait).await;
             }
-            Decision::Granted | Decision::OverQuota(_) | Decision::Pending => break claim,
+            Decision::Granted | Decision::OverQuota(_) | Decision::Pending => break decision,
         }
     };
-    match claim {
+    match decision {
         Decision::Granted => {
             metrics::quota_units(&organisation.name, cost);
             Ok(Some(Charge {
                 shared: Arc::clone(shared),
                 organisation: Arc::clone(organisation),
                 cost,
-                granted: shared.now(),
+                granted_at: shared.now(),
                 sends: AtomicU32::new(0),
             }))
         }
-        Decision::OverQuota(wait) => Err(refuse(shared, task, organisation, cost, Some(wait))),
-        Decision::Pending => Err(refuse(shared, task, organisation, cost, None)),
+        Decision::OverQuota(wait) => Err(quota_refusal(
+            shared,
+            request,
+            organisation,
+            cost,
+            Some(wait),
+        )),
+        Decision::Pending => Err(quota_refusal(shared, request, organisation, cost, None)),
     }
 }
 
-/// Takes what a request counts as, and asks for it if nothing is at hand.
-async fn take(
+/// Acquires the units for a request, and requests them from the pool if none are available locally.
+async fn acquire(
     shared: &Shared,
     organisation: &Organisation,
     quota: &Quota,
     cost: u32,
-    until: Instant,
+    deadline: Instant,
 ) -> Decision {
     let now = shared.now();
     let name = &organisation.name;
-    let taken = shared.state().allocation.acquire(name, quota, cost, now);
-    match taken {
+    let admission = shared.state().allocation.acquire(name, quota, cost, now);
+    match admission {
         Admission::Granted => Decision::Granted,
         Admission::OverQuota(wait) => Decision::OverQuota(wait),
-        Admission::Pending(ticket) => wait(shared, organisation, ticket, until).await,
+        Admission::Pending(ticket) => {
+            wait_for_decision(shared, organisation, ticket, deadline).await
+        }
     }
 }
 
-/// Waits until it is known what becomes of a request, or it could not be on time any more.
-async fn wait(
+/// Waits for the decision on a pending request, until `deadline` at most.
+async fn wait_for_decision(
     shared: &Shared,
     organisation: &Organisation,
     ticket: Ticket,
-    until: Instant,
+    deadline: Instant,
 ) -> Decision {
-    let waiting = Waiting {
+    let pending = PendingRequest {
         shared,
         organisation,
         ticket,
@@ -146,24 +163,26 @@
     shared.quota_wanted.notify_one();
     loop {
         let settled = shared.quota_settled.notified();
-        let claim = shared
+        let decision = shared
             .state()
             .allocation
-            .poll(&organisation.name, waiting.ticket);
-        if claim != Decision::Pending || tokio::time::timeout_at(until, settled).await.is_err() {
-            return claim;
+            .poll(&organisation.name, pending.ticket);
+        if decision != Decision::Pending
+            || tokio::time::timeout_at(deadline, settled).await.is_err()
+        {
+            return decision;
         }
     }
 }
 
-fn refuse(
+fn quota_refusal(
     shared: &Shared,
-    task: &Task,
+    request: &AdmittedRequest,
     organisation: &Organisation,
     cost: u32,
-    room_in: Option<Duration>,
+    retry_after: Option<Duration>,
 ) -> Reply {
-    let code = match room_in {
+    let code = match retry_after {
         Some(_) => Code::QuotaReached,
         None => Code::QuotaUnknown,
     };
@@ -173,15 +192,15 @@
         let pool = shared.state().allocation.pool();
         spdlog::info!(
             "request_over_quota id={} organisation={} cost={} quota={:?} room_in={:?} pool={:?} code={}",
-            task.call.id,
+            request.info.id,
             organisation.name,
             cost,
             organisation.quota,
-            room_in,
+            retry_after,
             pool,
             code
         );
     }
-    let detail = format!("The request counts as {cost}.");
-    Reply::new(code, detail).retry_after(room_in.unwrap_or(ANSWERED))
+    let detail = format!("The request costs {cost} quota units.");
+    Reply::new(code, detail).retry_after(retry_after.unwrap_or(UNKNOWN_RETRY_AFTER))
 }
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -1,4 +1,4 @@
-//! Passes answers of endpoints on to clients.
+//! Forwards answers of endpoints to clients.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -15,64 +15,64 @@
 use ploverwick_platform::answer::{self, Head, Statement};
 use tokio::time::Instant;
 
-use super::flight::Flight;
-use super::place::{self, Target};
+use super::admitted_request::AdmittedRequest;
+use super::in_flight::InFlight;
 use super::quarantine;
-use super::reply::{Body, Broken, whole as whole_body};
+use super::reply::{Body, BrokenAnswer, full_body};
 use super::reuse::keep;
-use super::send::{self, Answered, Sent};
-use super::task::Task;
+use super::select::{self, Target};
+use super::send::{self, Answered, SendOutcome};
 use crate::clock::Clock;
 use crate::connection::Activity;
 use crate::controllers::crashes;
 use crate::pool::Connection;
 use crate::shared::Shared;
 
-/// The part of the silence after which a client leaves that a stream may pause before it goes on at
-/// another endpoint, which needs the other half to read the prompt.
-const PAUSE_SHARE: f64 = 0.5;
+/// The fraction of the client's event timeout for which a stream may pause before it is resumed at another
+/// endpoint. That endpoint needs the other half to read the prompt.
+const MAX_PAUSE_RATIO: f64 = 0.5;
 
-/// Reads an answer to its end and makes a response of it.
+/// Reads a complete answer and builds the response from it.
 ///
 /// # Errors
-/// Fails with the cause if it breaks off; nothing went to the client then.
-pub(crate) async fn whole(
+/// Fails with the cause if the answer is interrupted or late. Nothing has been sent to the client then.
+pub(crate) async fn forward_whole(
     shared: &Arc<Shared>,
-    task: &Task,
+    request: &AdmittedRequest,
     answered: Answered,
 ) -> Result<Response<Body>, String> {
     let Answered {
         parts,
         head,
         body,
-        mut flight,
+        mut in_flight,
         connection,
     } = answered;
-    let body = match tokio::time::timeout_at(task.deadline, body.collect()).await {
+    let body = match tokio::time::timeout_at(request.deadline, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
-            flight.end(Outcome::Broken);
-            crashes::broke(shared, &flight.endpoint, task.suspect());
+            in_flight.set_outcome(Outcome::Broken);
+            crashes::broke(shared, &in_flight.endpoint, request.suspect());
             return Err(error.to_string());
         }
         Err(_) => {
-            flight.end(Outcome::Broken);
-            return Err("the answer was not complete in time".to_owned());
+            in_flight.set_outcome(Outcome::Broken);
+            return Err("the answer was not complete before the deadline".to_owned());
         }
     };
-    flight.end(if parts.status.is_server_error() {
+    in_flight.set_outcome(if parts.status.is_server_error() {
         Outcome::Error
     } else {
         Outcome::Success
     });
-    keep(shared, &flight.endpoint, connection, &head);
-    Ok(respond(&parts, &head, whole_body(body)))
+    keep(shared, &in_flight.endpoint, connection, &head);
+    Ok(build_response(&parts, &head, full_body(body)))
 }
 
-/// Passes a stream of events on as it comes.
-pub(crate) fn stream(
+/// Forwards a stream of events as it arrives.
+pub(crate) fn forward_stream(
     shared: &Arc<Shared>,
-    task: &Arc<Task>,
+    request: &Arc<AdmittedRequest>,
     target: &Target,
     answered: Answered,
     sent: u32,
@@ -81,40 +81,41 @@
         parts,
         head,
         body,
-        flight,
+        in_flight,
         connection,
     } = answered;
-    let relay = Relay {
+    let relay = StreamRelay {
         shared: Arc::clone(shared),
-        task: Arc::clone(task),
+        request: Arc::clone(request),
         source: Some(Source {
             body,
-            flight,
+            in_flight,
             connection,
             head: head.clone(),
         }),
-        events: task.route.kind.may_repeat().then(Events::default),
+        splitter: request.route.kind.may_repeat().then(EventSplitter::default),
         sent,
         tried: vec![Arc::clone(&target.entry.id)],
     };
     let frames = stream::try_unfold(relay, |mut relay| async move {
         let bytes = relay.next().await?;
-        Ok::<_, Broken>(bytes.map(|bytes| (Frame::data(bytes), relay)))
+        Ok::<_, BrokenAnswer>(bytes.map(|bytes| (Frame::data(bytes), relay)))
     });
-    respond(&parts, &head, UnsyncBoxBody::new(StreamBody::new(frames)))
+    build_response(&parts, &head, UnsyncBoxBody::new(StreamBody::new(frames)))
 }
 
-fn respond(parts: &Parts, head: &Head, body: Body) -> Response<Body> {
+fn build_response(parts: &Parts, head: &Head, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
-    *response.status_mut() = promise(parts.status, head);
+    *response.status_mut() = forwarded_status(parts.status, head);
     *response.headers_mut() = answer::forward(&parts.headers);
     response
 }
 
-/// A status that promises "not run" goes on only with the endpoint's own statement.
-fn promise(status: StatusCode, head: &Head) -> StatusCode {
-    let promises = matches!(status.as_u16(), 408 | 421 | 429 | 503);
-    if promises && head.statement == Statement::Nothing {
+/// Returns the status to forward. A status that implies "not run" is forwarded only if the endpoint stated that it
+/// has not run the request.
+fn forwarded_status(status: StatusCode, head: &Head) -> StatusCode {
+    let means_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+    if means_not_run && head.statement == Statement::Nothing {
         return StatusCode::BAD_GATEWAY;
     }
     status
@@ -123,28 +124,28 @@
 #[derive(Debug)]
 struct Source {
     body: Incoming,
-    flight: Flight,
+    in_flight: InFlight,
     connection: Connection,
     head: Head,
 }
 
-/// A stream on its way to a client.
+/// A stream that is forwarded to a client.
 #[derive(Debug)]
-struct Relay {
+struct StreamRelay {
     shared: Arc<Shared>,
-    task: Arc<Task>,
+    request: Arc<AdmittedRequest>,
     source: Option<Source>,
-    /// Cuts the bytes into events, if the stream may go on at another endpoint.
-    events: Option<Events>,
+    /// Splits the bytes into events, if the stream may be resumed at another endpoint.
+    splitter: Option<EventSplitter>,
     sent: u32,
     tried: Vec<Arc<str>>,
 }
 
-impl Relay {
-    /// Returns the next bytes; `None` at the end.
-    async fn next(&mut self) -> Result<Option<Bytes>, Broken> {
+impl StreamRelay {
+    /// Returns the next bytes for the client; `None` at the end of the stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
         loop {
-            let limit = self.pause_limit();
+            let limit = self.read_deadline();
             let Some(source) = &mut self.source else {
                 return Ok(None);
             };
@@ -154,139 +155,144 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    if let Some(bytes) = self.pass(data) {
+                    if let Some(bytes) = self.accept(data) {
                         return Ok(Some(bytes));
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
                 Ok(Some(Err(error))) => {
-                    crashes::broke(&self.shared, &source.flight.endpoint, self.task.suspect());
+                    crashes::broke(
+                        &self.shared,
+                        &source.in_flight.endpoint,
+                        self.request.suspect(),
+                    );
                     self.resume(&error.to_string()).await?;
                 }
-                Err(_) if limit < self.task.deadline => self.resume("the stream paused").await?,
+                Err(_) if limit < self.request.deadline => self.resume("the stream paused").await?,
                 Err(_) => {
-                    self.lose(Outcome::Abandoned);
-                    return Err(self.broken("the deadline passed"));
+                    self.close_source(Outcome::Abandoned);
+                    return Err(self.fail("the deadline passed"));
                 }
             }
         }
     }
 
-    /// Returns until when the next bytes are awaited: to the end, unless the stream may go on elsewhere
-    /// before its client leaves. A connection may fall silent without a sign.
-    fn pause_limit(&self) -> Instant {
-        let may_go_on = self.events.is_some() && self.sent < self.task.route.max_attempts;
-        match self.task.route.event_timeout {
-            Some(silence) if may_go_on => {
-                let limit = Instant::now() + silence.mul_f64(PAUSE_SHARE);
-                limit.min(self.task.deadline)
+    /// Returns the deadline for the next bytes. It is the request's deadline, unless the stream may be resumed at
+    /// another endpoint before the client disconnects: a connection may stall without an error.
+    fn read_deadline(&self) -> Instant {
+        let may_resume = self.splitter.is_some() && self.sent < self.request.route.max_attempts;
+        match self.request.route.event_timeout {
+            Some(event_timeout) if may_resume => {
+                let limit = Instant::now() + event_timeout.mul_f64(MAX_PAUSE_RATIO);
+                limit.min(self.request.deadline)
             }
-            Some(_) | None => self.task.deadline,
+            Some(_) | None => self.request.deadline,
         }
     }
 
-    /// Holds back what is not a whole event, if the stream may go on elsewhere.
-    fn pass(&mut self, data: Bytes) -> Option<Bytes> {
-        match &mut self.events {
+    /// Returns the bytes to forward. Incomplete events are buffered if the stream may be resumed at another
+    /// endpoint.
+    fn accept(&mut self, data: Bytes) -> Option<Bytes> {
+        match &mut self.splitter {
             None => Some(data),
-            Some(events) => events.push(&data),
+            Some(splitter) => splitter.push(&data),
         }
     }
 
     fn finish(&mut self) -> Option<Bytes> {
         if let Some(mut source) = self.source.take() {
-            source.flight.end(Outcome::Success);
-            quarantine::ended_well(&self.shared, &self.task);
-            let endpoint = Arc::clone(&source.flight.endpoint);
+            source.in_flight.set_outcome(Outcome::Success);
+            quarantine::handle_success(&self.shared, &self.request);
+            let endpoint = Arc::clone(&source.in_flight.endpoint);
             keep(&self.shared, &endpoint, source.connection, &source.head);
         }
-        let rest = self.events.as_mut().map(Events::rest);
+        let rest = self.splitter.as_mut().map(EventSplitter::take_rest);
         rest.filter(|rest| !rest.is_empty())
     }
 
-    fn lose(&mut self, outcome: Outcome) {
+    fn close_source(&mut self, outcome: Outcome) {
         if let Some(mut source) = self.source.take() {
-            source.flight.end(outcome);
+            source.in_flight.set_outcome(outcome);
         }
     }
 
-    fn broken(&self, cause: &str) -> Broken {
+    fn fail(&self, cause: &str) -> BrokenAnswer {
         if self.shared.lines.allow(self.shared.now()) {
             spdlog::info!(
                 "stream_broken id={} route={} sent={} endpoints={:?} cause=\"{}\" left_ms={} ms={}",
-                self.task.call.id,
-                self.task.route.name,
+                self.request.info.id,
+                self.request.route.name,
                 self.sent,
                 self.tried,
                 cause,
-                self.task.left().as_millis(),
-                self.task.received.elapsed().as_millis()
+                self.request.remaining().as_millis(),
+                self.request.received.elapsed().as_millis()
             );
         }
-        Broken(cause.to_owned())
+        BrokenAnswer(cause.to_owned())
     }
 
-    /// Goes on at another endpoint after the last whole event.
-    async fn resume(&mut self, cause: &str) -> Result<(), Broken> {
-        self.lose(Outcome::Broken);
-        let after = match &mut self.events {
-            Some(events) => events.cut(),
-            None => return Err(self.broken(cause)),
+    /// Resumes the stream at another endpoint after the last complete event.
+    async fn resume(&mut self, cause: &str) -> Result<(), BrokenAnswer> {
+        self.close_source(Outcome::Broken);
+        let after = match &mut self.splitter {
+            Some(splitter) => splitter.discard_partial(),
+            None => return Err(self.fail(cause)),
         };
-        while self.sent < self.task.route.max_attempts
-            && quarantine::may_repeat(&self.shared, &self.task)
+        while self.sent < self.request.route.max_attempts
+            && quarantine::may_repeat(&self.shared, &self.request)
             && self
                 .shared
-                .may_repeat(&self.task.call.id, &self.task.service)
+                .may_repeat(&self.request.info.id, &self.request.service)
         {
-            let target = match place::run(&self.shared, &self.task, &self.tried).await {
+            let target = match select::run(&self.shared, &self.request, &self.tried).await {
                 Ok(target) => target,
-                Err(reply) => return Err(self.broken(&reply.detail)),
+                Err(reply) => return Err(self.fail(&reply.detail)),
             };
-            if let Some(refusal) = quarantine::refusal(&self.shared, &self.task) {
-                return Err(self.broken(&refusal.detail));
+            if let Some(refusal) = quarantine::refusal(&self.shared, &self.request) {
+                return Err(self.fail(&refusal.detail));
             }
             self.sent += 1;
             self.tried.push(Arc::clone(&target.entry.id));
-            let limit = target.begin_by.unwrap_or(self.task.deadline);
-            let limit = limit.min(self.task.deadline);
-            let sent = send::run(&self.shared, &self.task, &target, limit, after).await;
-            if let Sent::Revoked(reply) = &sent {
-                return Err(self.broken(reply.code.name()));
+            let limit = target.start_deadline.unwrap_or(self.request.deadline);
+            let limit = limit.min(self.request.deadline);
+            let outcome = send::run(&self.shared, &self.request, &target, limit, after).await;
+            if let SendOutcome::Revoked(reply) = &outcome {
+                return Err(self.fail(reply.code.name()));
             }
-            if let Sent::Answered(answered) = sent
+            if let SendOutcome::Answered(answered) = outcome
                 && answered.parts.status.is_success()
                 && answered.head.is_signed
             {
                 let Answered {
                     head,
                     body,
-                    flight,
+                    in_flight,
                     connection,
                     ..
                 } = *answered;
                 self.source = Some(Source {
                     body,
-                    flight,
+                    in_flight,
                     connection,
                     head,
                 });
                 return Ok(());
             }
         }
-        Err(self.broken(cause))
+        Err(self.fail(cause))
     }
 }
 
-/// Cuts a stream into whole events and remembers the last one's identifier.
+/// Splits a stream into complete events and keeps the identifier of the last one.
 #[derive(Debug, Default)]
-pub(crate) struct Events {
+pub(crate) struct EventSplitter {
     pending: BytesMut,
     last: Option<u64>,
 }
 
-impl Events {
-    /// Takes bytes in and returns the whole events so far, if any.
+impl EventSplitter {
+    /// Appends bytes and returns the complete events so far, if any.
     pub(crate) fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         let from = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(data);
@@ -296,19 +302,19 @@
         Some(events)
     }
 
-    /// Drops a part of an event and returns the last whole one's identifier.
-    pub(crate) fn cut(&mut self) -> Option<u64> {
+    /// Discards an incomplete event and returns the identifier of the last complete one.
+    pub(crate) fn discard_partial(&mut self) -> Option<u64> {
         self.pending.clear();
         self.last
     }
 
-    /// Returns what is left at the end of the stream.
-    pub(crate) fn rest(&mut self) -> Bytes {
+    /// Returns the remaining bytes at the end of the stream.
+    pub(crate) fn take_rest(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 }
 
-/// Finds the end of the last whole event; an empty line ends one.
+/// Returns the end of the last complete event. An empty line ends an event.
 fn event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut end = None;
     for at in from..bytes.len() {
@@ -328,46 +334,46 @@
     std::str::from_utf8(id).ok()?.trim().parse().ok()
 }
 
-/// Says when an answer is over, so that the connection counts as idle from then on.
+/// Marks the client's connection as idle when dropped at the end of an answer.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct ActivityGuard {
     activity: Activity,
     clock: Clock,
 }
 
-impl Ended {
+impl ActivityGuard {
     pub(crate) fn new(activity: Activity, clock: Clock) -> Self {
         Self { activity, clock }
     }
 }
 
-impl Drop for Ended {
+impl Drop for ActivityGuard {
     fn drop(&mut self) {
         self.activity.end(self.clock.now());
     }
 }
 
-/// Ties the end of a body to a watcher.
-pub(crate) fn watched(body: Body, ended: Ended) -> Body {
-    UnsyncBoxBody::new(Watched {
+/// Wraps a body so that `guard` is dropped with it.
+pub(crate) fn guarded(body: Body, guard: ActivityGuard) -> Body {
+    UnsyncBoxBody::new(GuardedBody {
         body,
-        _ended: ended,
+        _guard: guard,
     })
 }
 
-struct Watched {
+struct GuardedBody {
     body: Body,
-    _ended: Ended,
+    _guard: ActivityGuard,
 }
 
-impl hyper::body::Body for Watched {
+impl hyper::body::Body for GuardedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BrokenAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- /dev/null
+++ b/crates/ploverwick_gateway/src/filters/retry.rs
@@ -0,0 +1,363 @@
+//! Sends a request and retries it until it is answered, as far as that is safe and allowed.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use http::{Response, StatusCode};
+use ploverwick_adapters::Since;
+use ploverwick_codes::Code;
+use ploverwick_endpoints::{Outcome, State as EndpointState, answer_timeout};
+use ploverwick_names::Moment;
+use tokio::time::Instant;
+
+use super::admitted_request::AdmittedRequest;
+use super::quarantine;
+use super::relay;
+use super::reply::{Body, Reply};
+use super::select::{self, Target};
+use super::send::{self, Answered, SendOutcome};
+use crate::metrics;
+use crate::shared::Shared;
+
+/// The number of refusing or unreachable endpoints after which a request fails.
+const MAX_REFUSALS: u32 = 4;
+/// The backoff after a refusal for lack of capacity, multiplied by the number of refusals so far.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(12);
+/// The `Retry-After` if endpoints refused the request or the retry budget is exhausted.
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
+
+/// The previous attempts of a request.
+#[derive(Debug, Default)]
+struct History {
+    /// The number of sends that reached an endpoint.
+    sent: u32,
+    /// The number of sends that may have run.
+    runs: u32,
+    /// The number of sends that certainly did not run, including those that were never sent.
+    refusals: u32,
+    /// The endpoints that are not tried again.
+    except: Vec<Arc<str>>,
+    /// The last error answer of an endpoint, forwarded if no retry succeeds.
+    error_response: Option<Response<Body>>,
+    timings: Timings,
+    last_send: Option<LastSend>,
+}
+
+/// The version and time limits of the last send, for the log.
+#[derive(Debug, Clone, Copy)]
+struct LastSend {
+    version: Option<u64>,
+    /// When the version was replaced by a newer one, as far as this instance knew.
+    replaced_since: Option<Since>,
+    /// When the request was sent, relative to the start of the process.
+    sent_at: Moment,
+    /// The maximum time to wait for the answer.
+    limit: Duration,
+    /// The expected time until the answer starts.
+    expected_wait: Duration,
+}
+
+impl std::fmt::Display for LastSend {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        let version = self.version.unwrap_or_default();
+        let limit = self.limit.as_millis();
+        let expected = self.expected_wait.as_millis();
+        let sent_at = self.sent_at.0;
+        let replaced = match self.replaced_since {
+            None => "-".to_owned(),
+            Some(Since::LongAgo) => "long_ago".to_owned(),
+            Some(Since::NotBefore(since)) => self.sent_at.since(since).as_millis().to_string(),
+        };
+        write!(
+            f,
+            "version={version} replaced_ms={replaced} sent_at={sent_at} limit_ms={limit} expected_ms={expected}"
+        )
+    }
+}
+
+/// The time that a request has taken so far, by cause.
+#[derive(Debug, Default, Clone, Copy)]
+struct Timings {
+    /// The time waiting for an endpoint that holds the adapter.
+    placing: Duration,
+    /// The time in sends that were retried, including the backoff after them.
+    failed_sends: Duration,
+    /// The time from the last send to the start of its answer.
+    answering: Duration,
+}
+
+/// Serves an admitted request, with retries.
+pub(crate) async fn run(shared: &Arc<Shared>, request: AdmittedRequest) -> Response<Body> {
+    let request = Arc::new(request);
+    let mut history = History::default();
+    loop {
+        if history.runs > 0 && !quarantine::may_repeat(shared, &request) {
+            let reply = Reply::new(
+                Code::Interrupted,
+                "Endpoints crashed while running the request.",
+            );
+            return give_up(shared, &request, history, reply);
+        }
+        let begun = Instant::now();
+        let selected = select::run(shared, &request, &history.except).await;
+        history.timings.placing += begun.elapsed();
+        let target = match selected {
+            Ok(target) => target,
+            Err(reply) => return give_up(shared, &request, history, reply),
+        };
+        if history.sent > 0 && !shared.may_repeat(&request.info.id, &request.service) {
+            let reply = Reply::new(Code::EndpointRefused, "The retry budget is exhausted.");
+            return give_up(
+                shared,
+                &request,
+                history,
+                reply.retry_after(REFUSED_RETRY_AFTER),
+            );
+        }
+        // The third crash may have been recorded while the request waited for its adapter.
+        if let Some(refusal) = quarantine::refusal(shared, &request) {
+            return give_up(shared, &request, history, refusal);
+        }
+        let limit = answer_deadline(&request, &target, &history);
+        let begun = Instant::now();
+        history.last_send = Some(LastSend {
+            version: target.copy.as_ref().map(|copy| copy.version),
+            replaced_since: target.replaced_since,
+            sent_at: shared.now(),
+            limit: limit.saturating_duration_since(begun),
+            expected_wait: target.expected_wait,
+        });
+        let outcome = send::run(shared, &request, &target, limit, None).await;
+        history.timings.answering = begun.elapsed();
+        match handle_outcome(shared, &request, &target, &mut history, outcome).await {
+            NextStep::Respond(response) => return response,
+            NextStep::Retry(backoff) => {
+                tokio::time::sleep(backoff).await;
+                history.timings.failed_sends += begun.elapsed();
+            }
+            NextStep::GiveUp(reply) => return give_up(shared, &request, history, reply),
+        }
+    }
+}
+
+enum NextStep {
+    Respond(Response<Body>),
+    Retry(Duration),
+    GiveUp(Reply),
+}
+
+/// Decides the next step from the outcome of a send.
+async fn handle_outcome(
+    shared: &Arc<Shared>,
+    request: &Arc<AdmittedRequest>,
+    target: &Target,
+    history: &mut History,
+    outcome: SendOutcome,
+) -> NextStep {
+    metrics::send(outcome.name());
+    match outcome {
+        SendOutcome::Revoked(reply) => NextStep::GiveUp(reply),
+        SendOutcome::Unsent(cause) => {
+            history.refusals += 1;
+            history.except.push(Arc::clone(&target.entry.id));
+            retry_refused(history, &cause, Duration::ZERO)
+        }
+        SendOutcome::NotRun { misdirected } => {
+            history.sent += 1;
+            if misdirected {
+                // This corrects the directory, so it does not count as a refusal: after a crash,
+                // every entry for the adapter may be stale.
+                handle_misdirected(shared, target, history);
+                return NextStep::Retry(Duration::ZERO);
+            }
+            history.refusals += 1;
+            retry_refused(
+                history,
+                "the endpoint has no capacity",
+                REFUSAL_BACKOFF * history.refusals,
+            )
+        }
+        SendOutcome::Lost(cause) => retry_lost(request, target, history, &cause),
+        SendOutcome::TimedOut => {
+            if request.remaining().is_zero() {
+                return NextStep::GiveUp(Reply::new(Code::DeadlineWhileRunning, ""));
+            }
+            retry_lost(request, target, history, "the answer did not start in time")
+        }
+        SendOutcome::Answered(answered) => {
+            handle_answer(shared, request, target, history, *answered).await
+        }
+    }
+}
+
+async fn handle_answer(
+    shared: &Arc<Shared>,
+    request: &Arc<AdmittedRequest>,
+    target: &Target,
+    history: &mut History,
+    mut answered: Answered,
+) -> NextStep {
+    let status = answered.parts.status;
+    let state = answered.head.state;
+    if status.is_success() && !answered.head.is_signed {
+        answered.in_flight.set_outcome(Outcome::Broken);
+        return retry_lost(request, target, history, "the answer has no signature");
+    }
+    if status.is_success() && request.route.kind.is_stream() {
+        log_answered(shared, request, target, history, status, state);
+        let response = relay::forward_stream(shared, request, target, answered, history.sent + 1);
+        return NextStep::Respond(response);
+    }
+    let response = match relay::forward_whole(shared, request, answered).await {
+        Ok(response) => response,
+        Err(cause) => return retry_lost(request, target, history, &cause),
+    };
+    if status.is_success() {
+        quarantine::handle_success(shared, request);
+    }
+    let is_failure = status.is_server_error();
+    if is_failure && may_retry(request, history.runs + 1) {
+        history.sent += 1;
+        history.runs += 1;
+        history.except.push(Arc::clone(&target.entry.id));
+        history.error_response = Some(response);
+        return NextStep::Retry(Duration::ZERO);
+    }
+    log_answered(shared, request, target, history, status, state);
+    NextStep::Respond(response)
+}
+
+fn retry_refused(history: &History, cause: &str, backoff: Duration) -> NextStep {
+    if history.refusals < MAX_REFUSALS {
+        return NextStep::Retry(backoff);
+    }
+    let reply = Reply::new(Code::EndpointRefused, cause);
+    NextStep::GiveUp(reply.retry_after(REFUSED_RETRY_AFTER))
+}
+
+fn retry_lost(
+    request: &AdmittedRequest,
+    target: &Target,
+    history: &mut History,
+    cause: &str,
+) -> NextStep {
+    history.sent += 1;
+    history.runs += 1;
+    history.except.push(Arc::clone(&target.entry.id));
+    if may_retry(request, history.runs) {
+        return NextStep::Retry(Duration::ZERO);
+    }
+    NextStep::GiveUp(Reply::new(Code::Interrupted, cause))
+}
+
+fn may_retry(request: &AdmittedRequest, runs: u32) -> bool {
+    request.route.kind.may_repeat() && runs < request.route.max_attempts
+}
+
+/// Corrects the directory if an endpoint does not hold the adapter listed there. A request without an adapter
+/// excludes the endpoint instead.
+fn handle_misdirected(shared: &Shared, target: &Target, history: &mut History) {
+    match &target.copy {
+        Some(copy) => {
+            let mut state = shared.state();
+            state.directory.mark_unloaded(&target.entry.id, copy);
+        }
+        None => history.except.push(Arc::clone(&target.entry.id)),
+    }
+}
+
+/// Returns the deadline for the head of an answer. It is the request's own deadline, unless the request may be
+/// retried or the adapter's version may be replaced in the meantime.
+fn answer_deadline(request: &AdmittedRequest, target: &Target, history: &History) -> Instant {
+    let last = target
+        .start_deadline
+        .unwrap_or(request.deadline)
+        .min(request.deadline);
+    if !may_retry(request, history.runs + 1) {
+        return last;
+    }
+    let timeout = answer_timeout(request.route.objective, target.expected_wait);
+    (Instant::now() + timeout).min(last)
+}
+
+fn give_up(
+    shared: &Shared,
+    request: &AdmittedRequest,
+    history: History,
+    reply: Reply,
+) -> Response<Body> {
+    // Once a send may have run, the reply must not state that the request did not run.
+    let reply = if history.runs == 0 || reply.code.class() != ploverwick_codes::Class::NotRun {
+        reply
+    } else {
+        Reply::new(Code::Interrupted, reply.detail)
+    };
+    if shared.lines.allow(shared.now()) {
+        spdlog::info!(
+            "request_failed id={} route={} service={} config={} adapter={} sent={} runs={} refusals={} except={:?} {} code={} detail=\"{}\" left_ms={} placing_ms={} in_vain_ms={} ms={}",
+            request.info.id,
+            request.route.name,
+            request.service,
+            request.config_version,
+            format_adapter(request),
+            history.sent,
+            history.runs,
+            history.refusals,
+            history.except,
+            format_last_send(&history),
+            reply.code,
+            reply.detail,
+            request.remaining().as_millis(),
+            history.timings.placing.as_millis(),
+            history.timings.failed_sends.as_millis(),
+            request.received.elapsed().as_millis()
+        );
+    }
+    history
+        .error_response
+        .unwrap_or_else(|| reply.into_response())
+}
+
+fn format_adapter(request: &AdmittedRequest) -> String {
+    let adapter = request.info.adapter.as_ref();
+    adapter.map_or_else(|| "-".to_owned(), ToString::to_string)
+}
+
+fn format_last_send(history: &History) -> String {
+    let last_send = history.last_send.as_ref();
+    last_send.map_or_else(|| "version=0".to_owned(), ToString::to_string)
+}
+
+fn log_answered(
+    shared: &Shared,
+    request: &AdmittedRequest,
+    target: &Target,
+    history: &History,
+    status: StatusCode,
+    state: EndpointState,
+) {
+    if shared.lines.allow(shared.now()) {
+        spdlog::info!(
+            "request_answered id={} route={} config={} adapter={} {} endpoint={} domain={} cost={:.1} prompt={} load={} reading={} limit={:?} state={:?} sent={} status={} placing_ms={} in_vain_ms={} answering_ms={} ms={}",
+            request.info.id,
+            request.route.name,
+            request.config_version,
+            format_adapter(request),
+            format_last_send(history),
+            target.entry.id,
+            target.entry.domain,
+            target.cost.0,
+            request.info.prompt_tokens,
+            target.load.requests,
+            target.load.reading,
+            shared.state().limits.get(&target.entry.id),
+            state,
+            history.sent + 1,
+            status.as_u16(),
+            history.timings.placing.as_millis(),
+            history.timings.failed_sends.as_millis(),
+            history.timings.answering.as_millis(),
+            request.received.elapsed().as_millis()
+        );
+    }
+}
--- a/crates/ploverwick_gateway/src/filters/reuse.rs
+++ b/crates/ploverwick_gateway/src/filters/reuse.rs
@@ -1,4 +1,4 @@
-//! Keeps connections to endpoints for later requests once their answers are complete.
+//! Returns connections to endpoints to the pool once their answers are complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::pool::Connection;
 use crate::shared::Shared;
 
-/// The time for the rest of a refusal, so that its connection can be used again.
-const DRAIN: Duration = Duration::from_millis(200);
+/// The time within which the rest of a refusal must arrive for its connection to be reused.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Reads the rest of a refusal aside.
+/// Reads the rest of a refusal in the background, then returns its connection to the pool.
 pub(super) fn drain(
     shared: &Arc<Shared>,
     endpoint: &Arc<str>,
@@ -24,13 +24,13 @@
     let shared = Arc::clone(shared);
     let endpoint = Arc::clone(endpoint);
     tokio::spawn(async move {
-        if let Ok(Ok(_)) = tokio::time::timeout(DRAIN, body.collect()).await {
+        if let Ok(Ok(_)) = tokio::time::timeout(DRAIN_TIMEOUT, body.collect()).await {
             keep(&shared, &endpoint, connection, &head);
         }
     });
 }
 
-/// Keeps a connection whose answer is complete.
+/// Returns a connection to the pool after a complete answer, unless the endpoint closes it.
 pub(super) fn keep(shared: &Shared, endpoint: &Arc<str>, mut connection: Connection, head: &Head) {
     if head.closes {
         return;
--- /dev/null
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -0,0 +1,353 @@
+//! Selects the endpoint for a request.
+
+use std::borrow::Cow;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ploverwick_adapters::{Copy, Key, Need, Since, StalenessPolicy};
+use ploverwick_codes::Code;
+use ploverwick_endpoints::{Cost, Entry, Load, Query};
+use ploverwick_names::Moment;
+use tokio::time::Instant;
+
+use super::admitted_request::AdmittedRequest;
+use super::missing_adapter;
+use super::reply::Reply;
+use crate::controllers::demand;
+use crate::metrics;
+use crate::shared::Shared;
+use crate::state::State;
+
+/// The `Retry-After` if no endpoint is available.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// The `Retry-After` if all endpoints are full.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// The `Retry-After` if the adapter was not loaded in time.
+const NOT_LOADED_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// The ratio of requests to slots of an endpoint at which further requests are refused, since they would wait
+/// longer than their latency objective.
+const MAX_FILL: f64 = 2.5;
+/// The time a request may wait for queued prompts of others at the best endpoint that holds its adapter, as a
+/// multiple of its latency objective, before the adapter is loaded at another endpoint too. Below 1 the request
+/// would still meet its objective, and another copy takes a slot from another adapter.
+const MAX_QUEUE_RATIO: f64 = 1.5;
+/// The fill of the best endpoint that holds an adapter above which the adapter is loaded at another one too.
+const CROWDED_FILL: f64 = 0.85;
+/// How often the load of an adapter is requested again while a request waits for it, as messages may be lost.
+const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(70);
+/// The maximum `Retry-After` if no endpoint accepts requests from this instance. Other instances may still be able
+/// to send.
+const MAX_LIMITED_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The fraction of the time until the client disconnects for which a request waits for its adapter.
+const LOAD_WAIT_RATIO: f64 = 0.4;
+
+/// The endpoint selected for a request.
+#[derive(Debug, Clone)]
+pub(crate) struct Target {
+    pub(crate) entry: Entry,
+    /// The adapter and the version of it that the endpoint holds.
+    pub(crate) copy: Option<Copy>,
+    pub(crate) cost: Cost,
+    /// When a request for an adapter is cancelled if it has not started, since its version may be replaced.
+    pub(crate) start_deadline: Option<Instant>,
+    /// When the version was replaced by a newer one; `None` if it was the newest at the time of selection.
+    pub(crate) replaced_since: Option<Since>,
+    /// The known load of the endpoint at the time of selection.
+    pub(crate) load: Load,
+    /// The expected time until the answer starts.
+    pub(crate) expected_wait: Duration,
+}
+
+/// Selects an endpoint. Waits if the adapter has to be loaded first.
+pub(crate) async fn run(
+    shared: &Arc<Shared>,
+    request: &AdmittedRequest,
+    except: &[Arc<str>],
+) -> Result<Target, Reply> {
+    let Some(key) = &request.info.adapter else {
+        return select_without_adapter(shared, request, except);
+    };
+    let started = Instant::now();
+    let timeout = request
+        .first_event_deadline
+        .saturating_duration_since(started);
+    let deadline = started + timeout.mul_f64(LOAD_WAIT_RATIO);
+    let mut load_requests = 0;
+    loop {
+        let changed = shared.placed.notified();
+        let (choice, wanted) = select_holder(shared, request, key, except);
+        match choice {
+            Choice::Selected(target) => {
+                metrics::adapter_wait(started.elapsed());
+                return Ok(*target);
+            }
+            Choice::Full => {
+                return Err(Reply::new(Code::Overloaded, "").retry_after(FULL_RETRY_AFTER));
+            }
+            Choice::Limited(wait) => return Err(limited_reply(wait)),
+            Choice::Wait => {}
+        }
+        let now = Instant::now();
+        if now >= deadline {
+            let detail = format!("adapter {key}, load requested {load_requests} times");
+            return Err(Reply::new(Code::LoadFailed, detail).retry_after(NOT_LOADED_RETRY_AFTER));
+        }
+        // Every load of any adapter wakes this task, so load requests are paced separately.
+        let request_at = started + LOAD_REQUEST_INTERVAL * load_requests;
+        if now >= request_at {
+            missing_adapter::request_load(shared, request, &wanted);
+            load_requests += 1;
+        }
+        tokio::select! {
+            () = changed => {}
+            () = tokio::time::sleep_until(started + LOAD_REQUEST_INTERVAL * load_requests) => {}
+        }
+    }
+}
+
+enum Choice {
+    Selected(Box<Target>),
+    Full,
+    /// No endpoint of the service accepts a request from this instance for this long.
+    Limited(Duration),
+    Wait,
+}
+
+fn limited_reply(wait: Duration) -> Reply {
+    let detail = "No endpoint currently accepts requests from this instance.";
+    Reply::new(Code::Overloaded, detail).retry_after(wait.min(MAX_LIMITED_RETRY_AFTER))
+}
+
+/// Returns the endpoints excluded for a request, including those to which this instance must not send now.
+fn excluded_endpoints<'a>(
+    state: &State,
+    except: &'a [Arc<str>],
+    now: Moment,
+) -> Cow<'a, [Arc<str>]> {
+    let closed = state.closed(now);
+    if closed.is_empty() {
+        return Cow::Borrowed(except);
+    }
+    Cow::Owned([except, &closed].concat())
+}
+
+/// Returns how long limits and pauses prevent this instance from sending to any ready endpoint of the request's
+/// service; `None` if it may send to one now, or if there is no such endpoint.
+fn min_send_wait(state: &State, request: &AdmittedRequest, now: Moment) -> Option<Duration> {
+    if state.limits.active_count() == 0 && state.pauses.is_empty() {
+        return None;
+    }
+    let of_service = state
+        .fleet
+        .entries()
+        .filter(|entry| entry.service == request.service && state.fleet.is_ready(&entry.id));
+    let mut min_wait = None;
+    for entry in of_service {
+        let wait = state.send_wait(&entry.id, now)?;
+        min_wait = Some(min_wait.map_or(wait, |min_wait: Duration| min_wait.min(wait)));
+    }
+    min_wait
+}
+
+/// Selects an endpoint for a request without an adapter.
+fn select_without_adapter(
+    shared: &Shared,
+    request: &AdmittedRequest,
+    except: &[Arc<str>],
+) -> Result<Target, Reply> {
+    let now = shared.now();
+    let state = shared.state();
+    let excluded = excluded_endpoints(&state, except, now);
+    let ranked = state
+        .fleet
+        .rank(&query(shared, &state, request, &excluded), now);
+    let holds = |id: &str| match &request.info.model {
+        None => true,
+        Some(model) => {
+            let entry = state.fleet.entry(id);
+            // The endpoints of a plain service list no models and accept any request.
+            entry.is_some_and(|e| e.held.is_empty() || e.held.iter().any(|h| h.model == *model))
+        }
+    };
+    let best = ranked.into_iter().find(|(_, id)| holds(id));
+    let Some((cost, id)) = best else {
+        return Err(match min_send_wait(&state, request, now) {
+            Some(wait) => limited_reply(wait),
+            None => Reply::new(Code::NoEndpoint, "").retry_after(NO_ENDPOINT_RETRY_AFTER),
+        });
+    };
+    if state
+        .fleet
+        .fill(&id, now)
+        .is_some_and(|fill| fill >= MAX_FILL)
+    {
+        return Err(Reply::new(Code::Overloaded, "").retry_after(FULL_RETRY_AFTER));
+    }
+    let entry = state.fleet.entry(&id).expect("it was ranked").clone();
+    let load = state.fleet.load(&id, now);
+    let prompt = request.info.prompt_tokens;
+    let expected_wait = state
+        .fleet
+        .expected_wait(&id, prompt, now)
+        .unwrap_or_default();
+    Ok(Target {
+        entry,
+        copy: None,
+        start_deadline: None,
+        replaced_since: None,
+        cost,
+        load,
+        expected_wait,
+    })
+}
+
+/// Returns the fill up to which an endpoint accepts a request. A lower weight leaves capacity for other requests.
+fn max_fill(request: &AdmittedRequest) -> f64 {
+    (MAX_FILL * request.terms.weight).clamp(1.0, 2.0 * MAX_FILL)
+}
+
+fn query<'a>(
+    shared: &'a Shared,
+    state: &State,
+    request: &'a AdmittedRequest,
+    except: &'a [Arc<str>],
+) -> Query<'a> {
+    let domain = &shared.settings.domain;
+    let peers = state.peers.values().filter(|peer| peer.domain == *domain);
+    let peers = peers.count();
+    Query {
+        service: &request.service,
+        domain: &shared.settings.domain,
+        key: request
+            .info
+            .adapter
+            .as_ref()
+            .map_or(&*request.info.id, |key| &key.adapter),
+        id: &request.info.id,
+        peers,
+        bytes: request.cross_domain_bytes(),
+        prompt: request.info.prompt_tokens,
+        except,
+    }
+}
+
+/// Selects an endpoint that holds the adapter, from the current state. If only an older version is held or the
+/// endpoint is crowded, requests a load of the newest version as well.
+fn select_holder(
+    shared: &Arc<Shared>,
+    request: &AdmittedRequest,
+    key: &Key,
+    except: &[Arc<str>],
+) -> (Choice, Copy) {
+    let now = shared.now();
+    let state = shared.state();
+    let version = state.directory.newest(key);
+    let wanted = Copy {
+        key: key.clone(),
+        version,
+    };
+    let excluded = excluded_endpoints(&state, except, now);
+    let query = query(shared, &state, request, &excluded);
+    let mut held = wanted.clone();
+    let mut best = cheapest_holder(&state, &query, &held, now);
+    if best.is_none()
+        && let Some(older) = usable_older_version(shared, &state, &wanted, now)
+    {
+        held.version = older;
+        best = cheapest_holder(&state, &query, &held, now);
+        best.take_if(|(_, id)| !starts_in_time(shared, &state, request, &held, id, now));
+    }
+    let Some((cost, id)) = best else {
+        let choice = min_send_wait(&state, request, now).map_or(Choice::Wait, Choice::Limited);
+        return (choice, wanted);
+    };
+    let entry = state.fleet.entry(&id).expect("it was ranked").clone();
+    let fill = state.fleet.fill(&id, now).unwrap_or(0.0);
+    let load = state.fleet.load(&id, now);
+    let queue_wait = state.fleet.expected_wait(&id, 0, now).unwrap_or_default();
+    let prompt = request.info.prompt_tokens;
+    let expected_wait = state
+        .fleet
+        .expected_wait(&id, prompt, now)
+        .unwrap_or_default();
+    let is_crowded =
+        fill > CROWDED_FILL || queue_wait > request.route.objective.mul_f64(MAX_QUEUE_RATIO);
+    let is_older = held.version != wanted.version;
+    let replaced_since = state.directory.replaced_since(&held);
+    let start_deadline = staleness_policy(shared).start_deadline(replaced_since, now);
+    drop(state);
+    if is_older || is_crowded {
+        let need = if is_older { Need::Any } else { Need::Another };
+        demand::ask(shared, &shared.settings.domain, &wanted, need);
+    }
+    if fill >= max_fill(request) {
+        return (Choice::Full, wanted);
+    }
+    let target = Target {
+        entry,
+        copy: Some(held),
+        start_deadline: Some(shared.clock.instant(start_deadline)),
+        replaced_since,
+        cost,
+        load,
+        expected_wait,
+    };
+    (Choice::Selected(Box::new(target)), wanted)
+}
+
+/// Returns the endpoint with the lowest cost among those that hold a copy.
+fn cheapest_holder(
+    state: &State,
+    query: &Query<'_>,
+    copy: &Copy,
+    now: Moment,
+) -> Option<(Cost, Arc<str>)> {
+    let holders = state.directory.holders(&copy.key, copy.version);
+    state.fleet.best(query, holders.iter(), now)
+}
+
+/// Returns an older version that may still be used while the newest is being loaded. Only the newest older
+/// version that is held need be checked, since those below it were replaced no later.
+fn usable_older_version(shared: &Shared, state: &State, newest: &Copy, now: Moment) -> Option<u64> {
+    let version = state
+        .directory
+        .newest_held_below(&newest.key, newest.version)?;
+    let key = newest.key.clone();
+    let since = state.directory.replaced_since(&Copy { key, version })?;
+    let is_usable = staleness_policy(shared).may_choose(since, now);
+    is_usable.then_some(version)
+}
+
+/// Returns whether a request is expected to start within the staleness bound at an endpoint that holds an older
+/// version.
+fn starts_in_time(
+    shared: &Shared,
+    state: &State,
+    request: &AdmittedRequest,
+    older: &Copy,
+    endpoint: &str,
+    now: Moment,
+) -> bool {
+    let prompt = request.info.prompt_tokens;
+    let expected_wait = state
+        .fleet
+        .expected_wait(endpoint, prompt, now)
+        .unwrap_or_default();
+    let since = state.directory.replaced_since(older);
+    since.is_none_or(|since| staleness_policy(shared).can_start_in_time(since, expected_wait, now))
+}
+
+/// Returns the deadline by which a request that has been sent must have started; `None` if no newer version is
+/// known.
+pub(super) fn start_deadline(shared: &Shared, copy: &Copy) -> Option<Instant> {
+    let now = shared.now();
+    let since = shared.state().directory.replaced_since(copy)?;
+    let moment = staleness_policy(shared).start_deadline(Some(since), now);
+    Some(shared.clock.instant(moment))
+}
+
+fn staleness_policy(shared: &Shared) -> StalenessPolicy {
+    StalenessPolicy {
+        bound: shared.settings.version,
+    }
+}
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -1,4 +1,4 @@
-//! Hands a request to an endpoint and reads the head of its answer.
+//! Sends a request to an endpoint and reads the head of its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,41 +13,41 @@
 use ploverwick_platform::request::{self, Addition};
 use tokio::time::Instant;
 
-use super::flight::Flight;
-use super::identify::{self, Caller};
-use super::place::{self, Target};
+use super::admitted_request::AdmittedRequest;
+use super::authenticate::{self, Caller};
+use super::in_flight::InFlight;
 use super::reply::Reply;
 use super::reuse;
-use super::task::Task;
+use super::select::{self, Target};
 use crate::controllers::{crashes, draining, limits, pauses};
 use crate::pool::{Connection, connect};
 use crate::shared::Shared;
 
-/// Less time than this is not worth an endpoint's work.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
+/// The remaining time below which a request is not sent, as the endpoint's work would be wasted.
+const MIN_REMAINING: Duration = Duration::from_millis(20);
 
-/// How handing a request over ended.
+/// The outcome of sending a request.
 #[derive(Debug)]
-pub(crate) enum Sent {
-    /// The endpoint answers.
+pub(crate) enum SendOutcome {
+    /// The endpoint answered.
     Answered(Box<Answered>),
-    /// The endpoint states that it has not run the request.
+    /// The endpoint stated that it has not run the request.
     NotRun {
-        /// It does not hold what the request names, or is another endpoint.
+        /// Whether the endpoint does not hold what the request names, or is a different endpoint than addressed.
         misdirected: bool,
     },
-    /// Its key is not valid any more, so that it was not sent.
+    /// The request was not sent because its key is no longer valid.
     Revoked(Reply),
-    /// No byte of it went anywhere.
+    /// Nothing was sent.
     Unsent(String),
-    /// It may have run.
+    /// The connection failed or the answer was invalid. The request may have run.
     Lost(String),
-    /// There was no answer in time; it may have run.
-    Silent,
+    /// The answer did not start in time. The request may have run.
+    TimedOut,
 }
 
-impl Sent {
-    /// Returns the ending's name, for counters.
+impl SendOutcome {
+    /// Returns the outcome's name, as used in metrics.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -56,147 +56,149 @@
             Self::Revoked(_) => "revoked",
             Self::Unsent(_) => "unsent",
             Self::Lost(_) => "lost",
-            Self::Silent => "silent",
+            Self::TimedOut => "silent",
         }
     }
 }
 
-/// An answer whose head was read.
+/// An answer whose head has been read.
 #[derive(Debug)]
 pub(crate) struct Answered {
     pub(crate) parts: Parts,
     pub(crate) head: Head,
     pub(crate) body: Incoming,
-    pub(crate) flight: Flight,
+    pub(crate) in_flight: InFlight,
     pub(crate) connection: Connection,
 }
 
 /// Sends a request to its target.
 ///
-/// `limit` bounds the wait for the head; `after_event` is the event after which a stream goes on.
+/// `limit` bounds the wait for the head of the answer. `after_event` is the event after which a stream resumes.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
-    task: &Task,
+    request: &AdmittedRequest,
     target: &Target,
     limit: Instant,
     after_event: Option<u64>,
-) -> Sent {
-    if task.left() < LEAST_LEFT {
-        return Sent::Unsent("no time is left".to_owned());
+) -> SendOutcome {
+    if request.remaining() < MIN_REMAINING {
+        return SendOutcome::Unsent("the deadline is too close".to_owned());
     }
-    let caller = match identify::again(shared, task) {
+    let caller = match authenticate::revalidate(shared, request) {
         Ok(caller) => caller,
-        Err(reply) => return Sent::Revoked(reply),
+        Err(reply) => return SendOutcome::Revoked(reply),
     };
     let endpoint = &target.entry.id;
     let sent = shared.now();
     if shared.state().send_wait(endpoint, sent).is_some() {
-        return Sent::Unsent("it takes no request from here now".to_owned());
+        return SendOutcome::Unsent(
+            "the endpoint currently accepts no requests from this instance".to_owned(),
+        );
     }
-    let prompt = task.call.prompt_tokens;
-    if let Some(charge) = &task.charge {
-        charge.sent();
+    let prompt = request.info.prompt_tokens;
+    if let Some(charge) = &request.charge {
+        charge.record_sent();
     }
-    let mut flight = Flight::begin(shared, endpoint, target.copy.clone(), prompt);
+    let mut in_flight = InFlight::start(shared, endpoint, target.copy.clone(), prompt);
     let begun = Instant::now();
-    let message = write(task, target, &caller, after_event);
-    let (connection, result) = match exchange(shared, task, target, limit, message).await {
+    let message = build_message(request, target, &caller, after_event);
+    let (connection, result) = match exchange(shared, request, target, limit, message).await {
         Exchange::Unsent(cause) => {
-            not_run(task);
-            flight.end(Outcome::Broken);
-            return Sent::Unsent(cause);
+            record_not_run(request);
+            in_flight.set_outcome(Outcome::Broken);
+            return SendOutcome::Unsent(cause);
         }
-        Exchange::Silent => {
-            flight.end(if is_taken_back(shared, target) {
+        Exchange::TimedOut => {
+            in_flight.set_outcome(if is_past_start_deadline(shared, target) {
                 Outcome::Abandoned
             } else {
                 Outcome::Broken
             });
-            return Sent::Silent;
+            return SendOutcome::TimedOut;
         }
         Exchange::Done(connection, result) => (connection, result),
     };
     let (parts, body) = match result {
         Ok(response) => response.into_parts(),
         Err(error) => {
-            flight.end(Outcome::Broken);
-            crashes::broke(shared, endpoint, task.suspect());
-            return Sent::Lost(error.to_string());
+            in_flight.set_outcome(Outcome::Broken);
+            crashes::broke(shared, endpoint, request.suspect());
+            return SendOutcome::Lost(error.to_string());
         }
     };
-    let head = answer::read(parts.status, &parts.headers, &task.call.id);
+    let head = answer::read(parts.status, &parts.headers, &request.info.id);
     if parts.status.is_success() {
-        // Counted from the send and not from the client's request, which may have waited for a load.
-        flight.latency(begun.elapsed());
+        // Measure from the send, not from the client's request, which may have waited for an adapter load.
+        in_flight.record_latency(begun.elapsed());
     }
     if head.is_for_other_attempt {
-        // An answer to an earlier request: where this one's begins cannot be told any more.
-        flight.end(Outcome::Error);
-        return Sent::Lost("the answer is another request's".to_owned());
+        // This answers an earlier request on the connection, so the start of this one's answer is unknown.
+        in_flight.set_outcome(Outcome::Error);
+        return SendOutcome::Lost("the answer belongs to another request".to_owned());
     }
-    limits::answered(shared, endpoint, &task.call.id, &head, sent);
-    let source = format_args!("answer id={}", task.call.id);
+    limits::answered(shared, endpoint, &request.info.id, &head, sent);
+    let source = format_args!("answer id={}", request.info.id);
     draining::answered(shared, endpoint, head.state, &source);
-    pauses::answered(shared, endpoint, &task.call.id, head.retry_after);
+    pauses::answered(shared, endpoint, &request.info.id, head.retry_after);
     if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.lines.allow(shared.now()) {
         spdlog::info!(
             "send_refused id={} endpoint={} statement={:?} retry_after={:?}",
-            task.call.id,
+            request.info.id,
             endpoint,
             head.statement,
             head.retry_after
         );
     }
     if head.statement != Statement::Nothing {
-        not_run(task);
+        record_not_run(request);
         let misdirected = head.statement == Statement::Misdirected;
-        flight.end(if misdirected {
+        in_flight.set_outcome(if misdirected {
             Outcome::Abandoned
         } else {
             Outcome::Refused
         });
         reuse::drain(shared, endpoint, connection, head, body);
-        return Sent::NotRun { misdirected };
+        return SendOutcome::NotRun { misdirected };
     }
-    Sent::Answered(Box::new(Answered {
+    SendOutcome::Answered(Box::new(Answered {
         parts,
         head,
         body,
-        flight,
+        in_flight,
         connection,
     }))
 }
 
-fn not_run(task: &Task) {
-    if let Some(charge) = &task.charge {
-        charge.not_run();
+fn record_not_run(request: &AdmittedRequest) {
+    if let Some(charge) = &request.charge {
+        charge.record_not_run();
     }
 }
 
 enum Exchange {
     Unsent(String),
-    Silent,
+    TimedOut,
     Done(Connection, Result<Response<Incoming>, hyper::Error>),
 }
 
 async fn exchange(
     shared: &Shared,
-    task: &Task,
+    request: &AdmittedRequest,
     target: &Target,
     limit: Instant,
     mut message: Request<Full<Bytes>>,
 ) -> Exchange {
-    // A kept connection may have closed unnoticed; then the request comes back unsent.
-    let is_last = !task.route.kind.may_repeat();
+    // A pooled connection may have been closed by the endpoint; hyper then returns the request unsent.
+    let is_last = !request.route.kind.may_repeat();
     while let Some(mut connection) = shared.pool.take(&target.entry.id, is_last) {
         let send = connection.sender.try_send_request(message);
-        match within(shared, target, limit, send).await {
+        match wait_for_answer(shared, target, limit, send).await {
             None => {
-                if !is_taken_back(shared, target) {
-                    // What silenced this connection may have silenced the others.
+                if !is_past_start_deadline(shared, target) {
+                    // The other pooled connections may be unresponsive for the same reason.
                     shared.pool.remove(&target.entry.id);
                 }
-                return Exchange::Silent;
+                return Exchange::TimedOut;
             }
             Some(Ok(response)) => return Exchange::Done(connection, Ok(response)),
             Some(Err(mut failed)) => match failed.take_message() {
@@ -210,25 +212,25 @@
         Err(cause) => return Exchange::Unsent(cause),
     };
     let send = connection.sender.send_request(message);
-    match within(shared, target, limit, send).await {
-        None => Exchange::Silent,
+    match wait_for_answer(shared, target, limit, send).await {
+        None => Exchange::TimedOut,
         Some(result) => Exchange::Done(connection, result),
     }
 }
 
-/// Returns whether a request is not awaited any more because its version was replaced, which says nothing
-/// of its endpoint.
-fn is_taken_back(shared: &Shared, target: &Target) -> bool {
+/// Returns whether a request was cancelled because its version was or may have been replaced. This does not
+/// affect the health of the endpoint.
+fn is_past_start_deadline(shared: &Shared, target: &Target) -> bool {
     let now = Instant::now();
     let copy = target.copy.as_ref();
-    let declared = copy.and_then(|copy| place::begin_by(shared, copy));
-    let limits = [target.begin_by, declared];
+    let declared = copy.and_then(|copy| select::start_deadline(shared, copy));
+    let limits = [target.start_deadline, declared];
     limits.into_iter().flatten().any(|limit| limit <= now)
 }
 
-/// Waits for an answer to begin; returns `None` if it does not in time. A declaration that is heard of
-/// meanwhile brings the limit forward: it may be older than the send.
-async fn within<T>(
+/// Waits for an answer to start; returns `None` on timeout. A version declaration received in the meantime moves
+/// the limit forward, since the version may have been declared before the request was sent.
+async fn wait_for_answer<T>(
     shared: &Shared,
     target: &Target,
     limit: Instant,
@@ -240,32 +242,36 @@
     tokio::pin!(answer);
     loop {
         let declared = shared.declared.notified();
-        let begin_by = place::begin_by(shared, copy).unwrap_or(limit);
+        let start_deadline = select::start_deadline(shared, copy).unwrap_or(limit);
         tokio::select! {
-            got = &mut answer => return Some(got),
-            () = tokio::time::sleep_until(limit.min(begin_by)) => return None,
+            answer = &mut answer => return Some(answer),
+            () = tokio::time::sleep_until(limit.min(start_deadline)) => return None,
             () = declared => {}
         }
     }
 }
 
-fn write(
-    task: &Task,
+fn build_message(
+    request: &AdmittedRequest,
     target: &Target,
     caller: &Caller,
     after_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let addition = Addition {
         endpoint: &target.entry.id,
-        caller: caller.told(),
-        remaining: task.left(),
+        caller: caller.for_endpoint(),
+        remaining: request.remaining(),
         version: target.copy.as_ref().map(|copy| copy.version),
-        priority: task.call.model.is_some().then_some(task.terms.priority),
+        priority: request
+            .info
+            .model
+            .is_some()
+            .then_some(request.terms.priority),
         after_event,
     };
-    let mut message = Request::new(Full::new(task.body.clone()));
-    *message.method_mut() = task.method.clone();
-    *message.uri_mut() = task.target.clone();
-    *message.headers_mut() = request::forward(&task.headers, &addition);
+    let mut message = Request::new(Full::new(request.body.clone()));
+    *message.method_mut() = request.method.clone();
+    *message.uri_mut() = request.target.clone();
+    *message.headers_mut() = request::forward(&request.headers, &addition);
     message
 }
--- a/crates/ploverwick_gateway/src/filters/terms.rs
+++ b/crates/ploverwick_gateway/src/filters/terms.rs
@@ -1,4 +1,4 @@
-//! What the operators' table says of a request: its limit, its priority and its weight.
+//! Applies the operators' table to a request: its limits, priority and weight.
 
 use std::time::Duration;
 
@@ -7,55 +7,57 @@
 use ploverwick_names::{Adapter, Hall};
 use ploverwick_table::terms::{DEFAULT_PRIORITY, resolve};
 
+use super::admitted_request::{AdmittedRequest, MAX_PRIORITY, Terms};
 use super::reply::Reply;
-use super::task::{MOST_URGENT, Task, Terms};
 use crate::shared::Shared;
 
-/// When to come back to an instance that has not read the table yet.
-const NO_TABLE: Duration = Duration::from_millis(300);
+/// The `Retry-After` of an instance that has not read the table yet.
+const NO_TABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Resolves the terms of a request; an adapter that no row covers has those of its route.
+/// Resolves the terms of a request and checks its limits. If no row covers the adapter, the terms of its
+/// organisation and route apply.
 ///
 /// # Errors
-/// Fails if a limit of the table is reached, or if it is not known whether there is one; nothing was
-/// sent then.
-pub(crate) fn run(shared: &Shared, task: &Task) -> Result<Terms, Reply> {
-    let mut terms = Terms::of(&task.route, task.caller.organisation());
+/// Fails if a limit of the table is reached, or if the table has not been read yet. Nothing has been sent in
+/// either case.
+pub(crate) fn run(shared: &Shared, request: &AdmittedRequest) -> Result<Terms, Reply> {
+    let mut terms = Terms::of(&request.route, request.caller.organisation());
     let now = shared.now();
     let mut state = shared.state();
-    let Some(key) = &task.call.adapter else {
+    let Some(key) = &request.info.adapter else {
         return Ok(terms);
     };
-    // A table that was not read may hold a limit; only a topic that was read holds none.
+    // An unread table may contain a limit. Only after the topic has been read does a missing table mean that
+    // there are no limits.
     if !state.has_table {
-        let detail = "The operators' table was not read yet.";
-        return Err(Reply::new(Code::NoConfiguration, detail).retry_after(NO_TABLE));
+        let detail = "The operators' table has not been read yet.";
+        return Err(Reply::new(Code::NoConfiguration, detail).retry_after(NO_TABLE_RETRY_AFTER));
     }
     let Some(table) = state.table.clone() else {
         return Ok(terms);
     };
-    // A name that the table cannot hold is covered by no row.
+    // The table cannot contain an invalid name, so no row covers it.
     let Ok(adapter) = Adapter::new(&key.adapter) else {
         return Ok(terms);
     };
     let hall = Hall::new(&shared.settings.domain).ok();
-    let Some(found) = resolve(&table, &adapter, hall.as_ref(), Timestamp::now()) else {
+    let Some(resolved) = resolve(&table, &adapter, hall.as_ref(), Timestamp::now()) else {
         return Ok(terms);
     };
     let sharers = shared.sharers(&state);
-    for limit in &found.limits {
+    for limit in &resolved.limits {
         let (subject, column) = (&limit.subject, &limit.column);
-        let taken = state
+        let result = state
             .rates
             .take_shared(subject, column, limit.rate, sharers, now);
-        if let Err(wait) = taken {
-            let detail = format!("adapter {key}, limit {} a second", limit.rate);
+        if let Err(wait) = result {
+            let detail = format!("adapter {key}, limit {} requests per second", limit.rate);
             return Err(Reply::new(Code::LimitReached, detail).retry_after(wait));
         }
     }
-    if found.priority != DEFAULT_PRIORITY {
-        terms.priority = MOST_URGENT.saturating_sub(found.priority);
+    if resolved.priority != DEFAULT_PRIORITY {
+        terms.priority = MAX_PRIORITY.saturating_sub(resolved.priority);
     }
-    terms.weight = found.weight;
+    terms.weight = resolved.weight;
     Ok(terms)
 }
