--- a/crates/ploverwick_daemon/src/admin.rs
+++ b/crates/ploverwick_daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a daemon: status, time line, metrics.
+//! The HTTP interface for operators: status, table, timeline and metrics.
 
 use std::io;
 use std::sync::{Arc, OnceLock};
@@ -17,15 +17,15 @@
 use crate::reply;
 use crate::status::{EndpointStatus, MemberStatus, Status};
 
-/// The exporter of this process's metrics. All daemons in a process share it.
+/// The exporter of this process's metrics, shared by all daemons in the process.
 static EXPORTER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Installs the exporter, unless this or another recorder is installed.
+/// Installs the exporter unless a metrics recorder is already installed.
 pub(crate) fn install_metrics() {
     EXPORTER.get_or_init(|| PrometheusBuilder::new().install_recorder().ok());
 }
 
-/// Shows the metrics.
+/// Returns the metrics.
 pub(crate) fn metrics() -> Reply {
     match EXPORTER.get() {
         Some(Some(exporter)) => text(StatusCode::OK, exporter.render()),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The operators' side of a daemon.
+/// Handles requests from operators.
 pub(crate) struct Admin {
     pub(crate) node: Arc<Node>,
 }
@@ -66,19 +66,19 @@
 }
 
 impl Admin {
-    /// Shows the table in force as CSV.
+    /// Returns the current table as CSV.
     fn table(&self) -> Reply {
-        let in_force = self.node.in_force.borrow().clone();
-        let csv = ploverwick_table::parse::write(&in_force.table);
+        let current_table = self.node.current_table.borrow().clone();
+        let csv = ploverwick_table::parse::write(&current_table.table);
         let mut reply = ploverwick_serve::bytes(StatusCode::OK, "text/csv; charset=utf-8", csv);
         reply
             .headers_mut()
-            .insert("ploverwick-table", in_force.version.0.into());
+            .insert("ploverwick-table", current_table.version.0.into());
         reply
     }
 }
 
-/// Reads the stamp after which events are wanted, such as `after=12`.
+/// Parses the stamp after which events are requested, such as `after=12`.
 fn after(query: Option<&str>) -> Stamp {
     let pairs = query.unwrap_or_default().split('&');
     let value = pairs
@@ -91,7 +91,7 @@
     )
 }
 
-/// Gathers a daemon's status.
+/// Collects a daemon's status.
 fn status(node: &Node) -> Status {
     let members = lock(&node.members);
     let members = members.members().map(|member| MemberStatus {
@@ -105,10 +105,10 @@
         .endpoints
         .iter()
         .filter(|entry| matches!(entry.serves, ploverwick_ports::roster::Serves::Model(_)));
-    let holds = lock(&node.holds);
+    let ownership = lock(&node.ownership);
     let endpoints = models.map(|entry| EndpointStatus {
         endpoint: entry.name.clone(),
-        owner: holds.owner(&entry.name).map(ToString::to_string),
+        owner: ownership.owner(&entry.name).map(ToString::to_string),
         leaving: entry.state == ploverwick_ports::roster::State::Leaving,
     });
     Status {
@@ -116,21 +116,21 @@
         incarnation: node.life.incarnation.0,
         failure_domain: node.settings.instance.failure_domain.to_string(),
         draining: node.is_draining(),
-        table: node.in_force.borrow().version,
+        table: node.current_table.borrow().version,
         members,
         endpoints: endpoints.collect(),
         owned: lock(&node.endpoint_status).values().cloned().collect(),
-        answers: node.answers.len(),
+        answers: node.responses.len(),
         scribes: node.scribes.len(),
     }
 }
 
-/// Says whether the balancer should send requests here.
+/// Returns the response to a load balancer's readiness check.
 pub(crate) fn ready(node: &Node) -> Reply {
     if node.is_draining() {
         return text(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
     }
-    if node.in_force.borrow().version == history::NO_VERSION {
+    if node.current_table.borrow().version == history::NO_VERSION {
         return text(StatusCode::SERVICE_UNAVAILABLE, "no table in force\n");
     }
     text(StatusCode::OK, "ready\n")
--- a/crates/ploverwick_daemon/src/chain.rs
+++ b/crates/ploverwick_daemon/src/chain.rs
@@ -1,7 +1,7 @@
 //! The chain of filters that a request passes before it is relayed.
 //!
-//! [`read`] makes an [`Exchange`] of what arrived; then each of [`FILTERS`] looks at it in order
-//! and may refuse it. Nothing here has been sent anywhere, so every refusal means "not run".
+//! [`read`] parses the request into an [`Exchange`]. Each of the [`FILTERS`] then checks it in order
+//! and may refuse it. The request has not been sent anywhere yet, so every refusal means "not run".
 
 mod identify;
 mod limit;
@@ -19,14 +19,14 @@
 use crate::node::Node;
 
 pub(crate) use identify::identify;
-pub(crate) use read::{deadline, keyed, read, read_body, remaining};
+pub(crate) use read::{deadline, idempotency_key, read, read_body, remaining};
 
-/// A key and when it was made.
+/// An idempotency key and the time of its creation.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Keyed {
+pub(crate) struct IdempotencyKey {
     /// The digest of caller and key.
     pub(crate) key: Key,
-    /// When the caller made the key, in milliseconds since the Unix epoch.
+    /// When the caller created the key, in milliseconds since the Unix epoch.
     pub(crate) made_ms: u64,
 }
 
@@ -43,13 +43,13 @@
     pub(crate) priority: Option<u8>,
     pub(crate) deadline: Moment,
     pub(crate) idempotent: bool,
-    pub(crate) keyed: Option<Keyed>,
+    pub(crate) idempotency_key: Option<IdempotencyKey>,
     pub(crate) resume_after: u64,
-    pub(crate) terms: Option<Policy>,
+    pub(crate) policy: Option<Policy>,
 }
 
 impl Exchange {
-    /// Returns what the request runs on; `None` before the model's version is resolved.
+    /// Returns the adapter version that the request runs on, or `None` before it is resolved.
     pub(crate) fn variant(&self) -> Option<Variant> {
         let version = self.model.version.clone()?;
         Some(Variant {
@@ -59,13 +59,13 @@
     }
 }
 
-/// A filter of the chain.
+/// A filter of the chain. Its name is the label in the metrics.
 struct Filter {
     name: &'static str,
     apply: fn(&Node, &mut Exchange) -> Result<(), Verdict>,
 }
 
-/// The filters, in the order in which a request passes them.
+/// The filters, in the order of application.
 const FILTERS: &[Filter] = &[
     Filter {
         name: "ready",
@@ -81,7 +81,7 @@
     },
 ];
 
-/// Passes a request through every filter.
+/// Applies all filters to a request.
 ///
 /// # Errors
 /// Returns the verdict of the first filter that refuses it.
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Makes the verdict on a request that was sent nowhere.
+/// Creates the verdict of a request that was not sent.
 pub(crate) fn refuse(code: Code, message: impl Into<String>) -> Verdict {
     Attempt::new().refuse(code, message)
 }
--- a/crates/ploverwick_daemon/src/chain/identify.rs
+++ b/crates/ploverwick_daemon/src/chain/identify.rs
@@ -1,4 +1,4 @@
-//! Finds out who calls.
+//! Authentication of callers.
 
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
@@ -12,10 +12,10 @@
 const ANONYMOUS: &str = "anonymous";
 const SCHEME: &str = "Bearer ";
 
-/// Finds the caller whose token a request carries.
+/// Returns the caller to whom a request's bearer token belongs.
 ///
 /// # Errors
-/// Refuses a token that is not listed, and a missing one unless anonymous callers are taken.
+/// Refuses unknown tokens, and missing ones unless anonymous callers are permitted.
 pub(crate) fn identify(access: &Access, headers: &HeaderMap) -> Result<Caller, Verdict> {
     let given = headers.get(AUTHORIZATION).map(http::HeaderValue::as_bytes);
     let token = given.and_then(|value| value.strip_prefix(SCHEME.as_bytes()));
@@ -28,15 +28,15 @@
     let known = access
         .callers
         .iter()
-        .find(|caller| same(caller.token.as_bytes(), token));
+        .find(|caller| constant_time_eq(caller.token.as_bytes(), token));
     match known {
         Some(caller) => Ok(caller.name.clone()),
         None => Err(refuse(Code::CallerUnknown, "the token is not listed")),
     }
 }
 
-/// Compares without stopping at the first difference, so that time does not tell a token.
-fn same(a: &[u8], b: &[u8]) -> bool {
+/// Compares all bytes, so that the duration does not reveal how much of a token matches.
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     let differences = a.iter().zip(b).fold(0, |sum, (x, y)| sum | (x ^ y));
     a.len() == b.len() && differences == 0
 }
--- a/crates/ploverwick_daemon/src/chain/limit.rs
+++ b/crates/ploverwick_daemon/src/chain/limit.rs
@@ -1,4 +1,4 @@
-//! Holds requests to the table's limits.
+//! Enforces the rate limits in the table.
 
 use ploverwick_codes::Code;
 use ploverwick_codes::attempt::Verdict;
@@ -7,18 +7,18 @@
 use crate::lock::lock;
 use crate::node::Node;
 
-/// Takes a token of every limit that applies.
+/// Takes a token from every limit that applies to the request.
 pub(super) fn apply(node: &Node, exchange: &mut Exchange) -> Result<(), Verdict> {
-    let Some(terms) = &exchange.terms else {
+    let Some(policy) = &exchange.policy else {
         return Ok(());
     };
-    if terms.limits.is_empty() {
+    if policy.limits.is_empty() {
         return Ok(());
     }
     let sharers = node.sharers();
     let now = node.now();
     let mut rates = lock(&node.rates);
-    for limit in &terms.limits {
+    for limit in &policy.limits {
         rates
             .take_shared(&limit.subject, &limit.column, limit.rate, sharers, now)
             .map_err(|wait| {
--- a/crates/ploverwick_daemon/src/chain/read.rs
+++ b/crates/ploverwick_daemon/src/chain/read.rs
@@ -1,4 +1,4 @@
-//! Reads a request's headers and body.
+//! Parses the headers and the body of a request.
 
 use std::time::Duration;
 
@@ -14,24 +14,24 @@
 use ploverwick_timeline::clock::now_millis;
 use serde::Deserialize;
 
-use super::{Exchange, Keyed, refuse};
+use super::{Exchange, IdempotencyKey, refuse};
 use crate::node::Node;
 
 const MAX_PRIORITY: u64 = 9;
 const MAX_KEY_BYTES: usize = 256;
 
-/// What is read of a body; the rest passes through untouched.
+/// The fields of the body that the daemon reads. All others are forwarded unchanged.
 #[derive(Deserialize)]
-struct Fields {
+struct BodyFields {
     model: String,
     #[serde(default)]
     stream: bool,
 }
 
-/// Reads a body within the settings' bounds.
+/// Reads a body within the size and time limits in the settings.
 ///
 /// # Errors
-/// Refuses a body that is too large, too slow or broken off.
+/// Refuses a body that is too large, too slow or incomplete.
 pub(crate) async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Verdict> {
     let limits = &node.settings.limits;
     let read = ploverwick_serve::read_body(body, limits.body_bytes, limits.body_timeout());
@@ -48,10 +48,10 @@
     })
 }
 
-/// Makes an exchange of a request's path, headers and body.
+/// Creates an exchange from the path, headers and body of a request.
 ///
 /// # Errors
-/// Refuses headers, bodies and models that cannot be read.
+/// Refuses malformed headers, bodies and models, and a non-idempotent request without a key.
 pub(crate) fn read(
     node: &Node,
     path: &str,
@@ -59,16 +59,16 @@
     caller: Caller,
     body: Bytes,
 ) -> Result<Exchange, Verdict> {
-    let fields: Fields = serde_json::from_slice(&body)
+    let fields: BodyFields = serde_json::from_slice(&body)
         .map_err(|error| refuse(Code::BodyMalformed, error.to_string()))?;
     let model: Model = fields
         .model
         .parse()
         .map_err(|error| refuse(Code::ModelMalformed, format!("{error}")))?;
     let priority = number(headers, header::PRIORITY, MAX_PRIORITY)?;
-    let keyed = keyed(headers, &caller)?;
+    let idempotency_key = idempotency_key(headers, &caller)?;
     let idempotent = !marked_non_idempotent(headers)?;
-    if !idempotent && keyed.is_none() {
+    if !idempotent && idempotency_key.is_none() {
         let message = "the request is marked as non-idempotent";
         return Err(refuse(Code::KeyMissing, message));
     }
@@ -83,16 +83,16 @@
         priority: priority.and_then(|priority| u8::try_from(priority).ok()),
         deadline: deadline(node, headers)?,
         idempotent,
-        keyed,
+        idempotency_key,
         resume_after: number(headers, header::LAST_EVENT_ID, u64::MAX)?.unwrap_or_default(),
-        terms: None,
+        policy: None,
     })
 }
 
-/// Returns a header's text.
+/// Returns the value of a header.
 ///
 /// # Errors
-/// Refuses a header that is not ASCII text, or stands twice.
+/// Refuses a header that is not ASCII text or occurs more than once.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Verdict> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
@@ -107,14 +107,14 @@
         .map_err(|_| refuse(Code::HeaderMalformed, format!("header {name} is not text")))
 }
 
-fn number(headers: &HeaderMap, name: &str, most: u64) -> Result<Option<u64>, Verdict> {
+fn number(headers: &HeaderMap, name: &str, max: u64) -> Result<Option<u64>, Verdict> {
     let Some(text) = text(headers, name)? else {
         return Ok(None);
     };
     let number = text.trim().parse::<u64>().ok();
-    let fits = number.filter(|number| *number <= most);
+    let fits = number.filter(|number| *number <= max);
     fits.map(Some).ok_or_else(|| {
-        let message = format!("header {name} has to be a whole number from 0 to {most}");
+        let message = format!("header {name} has to be a whole number from 0 to {max}");
         refuse(Code::HeaderMalformed, message)
     })
 }
@@ -130,7 +130,7 @@
     }
 }
 
-/// Reads the hall, which is the entry's failure domain if the caller names none.
+/// Reads the hall, which defaults to the failure domain of this instance.
 fn hall(node: &Node, headers: &HeaderMap) -> Result<Hall, Verdict> {
     let domain = node.settings.instance.failure_domain.as_str();
     let name = text(headers, header::HALL)?.unwrap_or(domain);
@@ -142,7 +142,7 @@
     })
 }
 
-/// Reads the deadline, within the settings' bounds.
+/// Reads the deadline, limited to the maximum in the settings.
 ///
 /// # Errors
 /// Refuses a deadline that is not a number.
@@ -154,11 +154,15 @@
     Ok(node.now() + Duration::from_millis(bounded))
 }
 
-/// Reads the key, which has to say when it was made.
+/// Reads the idempotency key and the time of its creation, from a header or a version 7 UUID.
 ///
 /// # Errors
-/// Refuses a key without a time, since a repeat could then come after the key was forgotten.
-pub(crate) fn keyed(headers: &HeaderMap, caller: &Caller) -> Result<Option<Keyed>, Verdict> {
+/// Refuses a key without a time, because a repeat could then arrive after the key has expired and
+/// run again.
+pub(crate) fn idempotency_key(
+    headers: &HeaderMap,
+    caller: &Caller,
+) -> Result<Option<IdempotencyKey>, Verdict> {
     let Some(key) = text(headers, header::IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
@@ -166,20 +170,20 @@
         let message = format!("the key has to have 1 to {MAX_KEY_BYTES} bytes");
         return Err(refuse(Code::HeaderMalformed, message));
     }
-    let stamped = number(headers, header::KEY_TIME, u64::MAX)?;
-    let Some(made_ms) = stamped.or_else(|| uuid_time(key)) else {
+    let key_time = number(headers, header::KEY_TIME, u64::MAX)?;
+    let Some(made_ms) = key_time.or_else(|| uuid_time(key)) else {
         return Err(refuse(Code::KeyUnstamped, "the key has no time"));
     };
     if made_ms > now_millis().saturating_mul(2) {
         return Err(refuse(Code::KeyExpired, "the key's time is not near now"));
     }
-    Ok(Some(Keyed {
+    Ok(Some(IdempotencyKey {
         key: Key::digest(caller, key),
         made_ms,
     }))
 }
 
-/// Reads the time in a version 7 UUID.
+/// Returns the timestamp of a version 7 UUID in milliseconds.
 fn uuid_time(key: &str) -> Option<u64> {
     let uuid = uuid::Uuid::parse_str(key).ok()?;
     if uuid.get_version_num() != 7 {
--- a/crates/ploverwick_daemon/src/chain/ready.rs
+++ b/crates/ploverwick_daemon/src/chain/ready.rs
@@ -1,4 +1,4 @@
-//! Refuses requests while this daemon cannot serve them.
+//! Refuses requests while this daemon is not ready.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use super::{Exchange, refuse};
 use crate::node::Node;
 
-const HINT: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Refuses a request while the daemon drains, and before a first table is in force.
+/// Refuses a request while the daemon is draining, and before it has a table.
 pub(super) fn apply(node: &Node, _: &mut Exchange) -> Result<(), Verdict> {
     if node.is_draining() {
         let verdict = refuse(Code::Draining, "this instance is leaving");
         return Err(verdict.retry_after(Duration::ZERO));
     }
-    if node.in_force.borrow().version == history::NO_VERSION {
-        return Err(refuse(Code::NoTable, "no table is in force").retry_after(HINT));
+    if node.current_table.borrow().version == history::NO_VERSION {
+        return Err(refuse(Code::NoTable, "no table is in force").retry_after(RETRY_AFTER));
     }
     Ok(())
 }
--- a/crates/ploverwick_daemon/src/commands.rs
+++ b/crates/ploverwick_daemon/src/commands.rs
@@ -1,4 +1,4 @@
-//! What the tasks of endpoints are told, and the channels to them.
+//! Commands to the endpoint tasks, and the channels that carry them.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -12,50 +12,51 @@
 
 use crate::lock::lock;
 
-/// How many commands may wait for a task.
-const COMMANDS: usize = 1024;
-/// How many frames may wait for a slow reader.
-const FRAMES: usize = 64;
+/// The maximum number of commands queued for a task.
+const COMMAND_CHANNEL_CAPACITY: usize = 1024;
+/// The maximum number of frames queued for a slow reader.
+const FRAME_CHANNEL_CAPACITY: usize = 64;
 
-/// What an endpoint's task is told.
+/// A command to an endpoint task.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Run a request.
     Submit(Box<Order>, mpsc::Sender<Frame>),
-    /// A sent attempt is over, and nothing of it runs.
+    /// A sent attempt has ended and is no longer running on the engine.
     Finished(Request),
-    /// A sent attempt is over here, and may still be running at the engine.
+    /// A sent attempt has ended here but may still be running on the engine.
     Unsettled(Request),
-    /// An unsettled attempt was not resumed in time.
+    /// The time to resume an unsettled attempt has expired.
     Settle(Request),
-    /// The engine reported, or could not be asked.
+    /// The engine's report, or `None` if it could not be read, and whether the engine is leaving.
     Reported(Option<Report>, bool),
-    /// The engine, in its given life, has seen the token, or could not be asked.
+    /// The engine accepted the token in the given incarnation; `None` if the call failed.
     Fenced(Option<(Token, Incarnation)>),
-    /// A load order ended.
+    /// A load order has completed.
     Loaded(Variant, Outcome),
-    /// An unload order ended.
+    /// An unload order has completed.
     Unloaded(Variant, Outcome),
-    /// An announcement stands in the log; it is valid unless another's claim came first.
+    /// Whether an announced unload is in the log before any claim of another owner, and may
+    /// therefore be executed.
     Announced(Variant, bool),
-    /// This daemon owns the endpoint now.
+    /// This daemon now owns the endpoint.
     Gained,
-    /// Another daemon owns the endpoint now.
+    /// Another daemon now owns the endpoint.
     Lost,
-    /// Stop taking requests, and say when the endpoint may be released.
+    /// Stop accepting requests, and signal when the endpoint may be released.
     Close(oneshot::Sender<()>),
 }
 
-/// The tasks of the endpoints that this daemon owns or owned.
+/// The tasks of the endpoints that this daemon owns or has owned.
 #[derive(Debug, Default)]
-pub(crate) struct Owners {
+pub(crate) struct EndpointTasks {
     tasks: Mutex<HashMap<Endpoint, mpsc::Sender<Command>>>,
 }
 
-impl Owners {
-    /// Hands a request to an endpoint's task and returns the frames of its answer.
+impl EndpointTasks {
+    /// Submits a request to an endpoint's task and returns the frames of the response.
     pub(crate) async fn submit(&self, order: Order) -> mpsc::Receiver<Frame> {
-        let (sender, frames) = mpsc::channel(FRAMES);
+        let (sender, frames) = mpsc::channel(FRAME_CHANNEL_CAPACITY);
         let task = self.task(&order.endpoint);
         let refused = match task {
             Some(task) => {
@@ -65,8 +66,8 @@
             None => true,
         };
         if refused {
-            // The channel is new and has room.
-            let _ = sender.try_send(ending(
+            // The channel is new, so it cannot be full.
+            let _ = sender.try_send(end_frame(
                 Code::NotOwner,
                 "the endpoint has no owner here",
                 None,
@@ -79,15 +80,16 @@
         lock(&self.tasks).get(endpoint).cloned()
     }
 
-    /// Tells an endpoint's task something; returns whether there is one.
-    pub(crate) async fn tell(&self, endpoint: &Endpoint, command: Command) -> bool {
+    /// Sends a command to an endpoint's task; returns whether the task is running.
+    pub(crate) async fn send(&self, endpoint: &Endpoint, command: Command) -> bool {
         match self.task(endpoint.as_str()) {
             Some(task) => task.send(command).await.is_ok(),
             None => false,
         }
     }
 
-    /// Makes an endpoint's channel of commands, unless its task runs; the caller starts the task.
+    /// Creates the command channel of an endpoint, or returns `None` if its task is running. The
+    /// caller must start the task.
     pub(crate) fn open(
         &self,
         endpoint: &Endpoint,
@@ -97,20 +99,21 @@
         if runs {
             return None;
         }
-        let (sender, commands) = mpsc::channel(COMMANDS);
+        let (sender, commands) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
         let weak = sender.downgrade();
         tasks.insert(endpoint.clone(), sender);
         Some((weak, commands))
     }
 
-    /// Ends the tasks of endpoints that are not kept, once their requests are over.
+    /// Closes the channels of the endpoints for which `keep` is false. Their tasks end once their
+    /// requests have finished.
     pub(crate) fn retain(&self, keep: impl Fn(&Endpoint) -> bool) {
         lock(&self.tasks).retain(|endpoint, _| keep(endpoint));
     }
 }
 
-/// Makes the frame that ends an answer.
-pub(crate) fn ending(code: Code, message: &str, hint: Option<Duration>) -> Frame {
+/// Creates the last frame of a response.
+pub(crate) fn end_frame(code: Code, message: &str, hint: Option<Duration>) -> Frame {
     let hint = hint.map_or(0, |hint| {
         u64::try_from(hint.as_millis()).unwrap_or(u64::MAX)
     });
--- a/crates/ploverwick_daemon/src/controllers.rs
+++ b/crates/ploverwick_daemon/src/controllers.rs
@@ -1,4 +1,5 @@
-//! The controllers: one task for each thing that daemons agree on.
+//! The controllers, which maintain the state shared between daemons: claims of idempotency keys,
+//! membership, ownership of endpoints, and the table.
 
 pub(crate) mod claims;
 pub(crate) mod members;
--- a/crates/ploverwick_daemon/src/controllers/claims.rs
+++ b/crates/ploverwick_daemon/src/controllers/claims.rs
@@ -1,5 +1,5 @@
-//! Decides which request may run under a key: asks the scribe of the key's partition, and is the
-//! scribe of some partitions itself.
+//! Claims of idempotency keys: sends claims to the scribe of the key's partition, and runs the
+//! scribes of the partitions assigned to this daemon.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,38 +17,43 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::MissedTickBehavior;
 
-use crate::chain::Keyed;
+use crate::chain::IdempotencyKey;
 use crate::listing;
 use crate::lock::lock;
 use crate::node::Node;
-use crate::scribes::Asked;
+use crate::scribes::PendingClaim;
 
-/// The pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How often a scribe looks at its batch and its waiting claims.
-const TICK: Duration = Duration::from_millis(5);
-/// How often giving a claim back is tried, and the first pause between tries.
-const FORFEIT_TRIES: u32 = 6;
-const FORFEIT_PAUSE: Duration = Duration::from_millis(200);
+/// The delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How often a scribe checks its batch and its pending claims.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// The maximum number of attempts to forfeit a claim.
+const FORFEIT_ATTEMPTS: u32 = 6;
+/// The delay after the first failed attempt to forfeit a claim. It doubles with each attempt.
+const FORFEIT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 fn stream(partition: u32) -> String {
     format!("claims-{partition}")
 }
 
-/// Claims a key for a request of this entry.
-pub(crate) async fn claim(node: &Arc<Node>, request: &Request, keyed: Keyed) -> Outcome {
+/// Claims a key for a request that this daemon has received.
+pub(crate) async fn claim(
+    node: &Arc<Node>,
+    request: &Request,
+    idempotency_key: IdempotencyKey,
+) -> Outcome {
     let timeout = node.settings.claims.timeout();
-    let asking = ask(node, request, keyed, false);
-    let answered = tokio::time::timeout(timeout, asking).await;
+    let call = request_claim(node, request, idempotency_key, false);
+    let answered = tokio::time::timeout(timeout, call).await;
     let outcome = answered.unwrap_or(Outcome::Unconfirmed);
     if outcome == Outcome::Unconfirmed {
-        node.scribes.give_up(request);
+        node.scribes.abandon(request);
     }
-    metrics::counter!("ploverwick_claims", "outcome" => name(&outcome)).increment(1);
+    metrics::counter!("ploverwick_claims", "outcome" => outcome_label(&outcome)).increment(1);
     outcome
 }
 
-fn name(outcome: &Outcome) -> &'static str {
+fn outcome_label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Won => "won",
         Outcome::Lost(_) => "lost",
@@ -57,111 +62,119 @@
     }
 }
 
-/// Says whether a request of this life gave its claim up, so that it never ran and never will.
-pub(crate) fn was_given_up(node: &Node, request: &Request) -> bool {
-    node.scribes.gave_up(request)
+/// Returns whether a request of this process has abandoned its claim. Such a request has not run and
+/// never will.
+pub(crate) fn was_abandoned(node: &Node, request: &Request) -> bool {
+    node.scribes.is_abandoned(request)
 }
 
-/// Gives a claim back for a request that did not run and never will.
-pub(crate) fn forfeit(node: &Arc<Node>, request: &Request, keyed: Keyed) {
-    node.scribes.give_up(request);
+/// Forfeits the claim of a request that did not run and never will.
+pub(crate) fn forfeit(node: &Arc<Node>, request: &Request, idempotency_key: IdempotencyKey) {
+    node.scribes.abandon(request);
     let node = Arc::clone(node);
     let request = request.clone();
-    // The caller has its verdict; this may take as long as the log is out.
+    // The caller does not wait for this, which may take as long as an outage of the log.
     tokio::spawn(async move {
-        let mut pause = FORFEIT_PAUSE;
-        for _ in 0..FORFEIT_TRIES {
-            let asking = ask(&node, &request, keyed, true);
+        let mut delay = FORFEIT_RETRY_DELAY;
+        for _ in 0..FORFEIT_ATTEMPTS {
+            let call = request_claim(&node, &request, idempotency_key, true);
             let timeout = node.settings.claims.timeout();
-            if tokio::time::timeout(timeout, asking).await == Ok(Outcome::Won) {
+            if tokio::time::timeout(timeout, call).await == Ok(Outcome::Won) {
                 return;
             }
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
     });
 }
 
-async fn ask(node: &Arc<Node>, request: &Request, keyed: Keyed, forfeit: bool) -> Outcome {
-    let partition = keyed.key.partition(node.settings.claims.partitions);
-    let ask = ClaimAsk {
+async fn request_claim(
+    node: &Arc<Node>,
+    request: &Request,
+    idempotency_key: IdempotencyKey,
+    forfeit: bool,
+) -> Outcome {
+    let partition = idempotency_key
+        .key
+        .partition(node.settings.claims.partitions);
+    let message = ClaimAsk {
         partition,
-        key: keyed.key.as_bytes().to_vec().into(),
+        key: idempotency_key.key.as_bytes().to_vec().into(),
         instance: node.life.instance.to_string(),
         incarnation: node.life.incarnation.0,
         request: request.to_string(),
         forfeit,
-        made_ms: keyed.made_ms,
+        made_ms: idempotency_key.made_ms,
     };
     let Some(scribe) = scribe_of(node, partition) else {
         return Outcome::Unconfirmed;
     };
     if scribe == node.life.instance {
-        return decide(node, &ask).await;
+        return decide(node, &message).await;
     }
     let address = lock(&node.members).address(&scribe);
     let Some(address) = address else {
         return Outcome::Unconfirmed;
     };
-    let Ok(mut link) = node.links.get(address).await else {
+    let Ok(mut peer) = node.peer_connections.get(address).await else {
         return Outcome::Unconfirmed;
     };
-    match link.claim(ask).await {
+    match peer.claim(message).await {
         Ok(answer) => from_wire(&answer.into_inner()),
         Err(_) => {
-            node.links.forget(address);
+            node.peer_connections.remove(address);
             Outcome::Unconfirmed
         }
     }
 }
 
-/// Returns the instance that should be the scribe of a partition. Any instance may be: the choice
-/// only saves appends.
+/// Returns the preferred scribe of a partition. Any instance could be the scribe; preferring one
+/// avoids redundant appends.
 fn scribe_of(node: &Node, partition: u32) -> Option<Instance> {
-    let able = lock(&node.members).eligible();
-    listing::chosen(&stream(partition), &able)
+    let eligible = lock(&node.members).eligible();
+    listing::choose_instance(&stream(partition), &eligible)
 }
 
-/// Decides a claim as the scribe of its partition.
-pub(crate) async fn decide(node: &Arc<Node>, ask: &ClaimAsk) -> Outcome {
-    let Some(read) = read_ask(ask) else {
+/// Handles a claim as the scribe of its partition.
+pub(crate) async fn decide(node: &Arc<Node>, message: &ClaimAsk) -> Outcome {
+    let Some(claim) = decode_claim(message) else {
         return Outcome::Unconfirmed;
     };
-    let task = task(node, ask.partition);
-    let (answer, answered) = oneshot::channel();
-    let asked = Asked { ask: read, answer };
-    if task.send(asked).await.is_err() {
+    let task = task(node, message.partition);
+    let (reply, outcome) = oneshot::channel();
+    let pending = PendingClaim { claim, reply };
+    if task.send(pending).await.is_err() {
         return Outcome::Unconfirmed;
     }
-    answered.await.unwrap_or(Outcome::Unconfirmed)
+    outcome.await.unwrap_or(Outcome::Unconfirmed)
 }
 
-fn read_ask(ask: &ClaimAsk) -> Option<ClaimRequest> {
+fn decode_claim(message: &ClaimAsk) -> Option<ClaimRequest> {
     let life = Life {
-        instance: Instance::new(&ask.instance).ok()?,
-        incarnation: Incarnation(ask.incarnation),
+        instance: Instance::new(&message.instance).ok()?,
+        incarnation: Incarnation(message.incarnation),
     };
     Some(ClaimRequest {
         record: Record {
-            key: Key::from_bytes(&ask.key).ok()?,
-            request: Request::new(&ask.request).ok()?,
+            key: Key::from_bytes(&message.key).ok()?,
+            request: Request::new(&message.request).ok()?,
             life,
-            forfeit: ask.forfeit,
+            forfeit: message.forfeit,
         },
-        made_ms: ask.made_ms,
+        made_ms: message.made_ms,
     })
 }
 
-fn task(node: &Arc<Node>, partition: u32) -> mpsc::Sender<Asked> {
-    let (sender, asks) = node.scribes.open(partition);
-    if let Some(asks) = asks {
-        tokio::spawn(run(Arc::clone(node), partition, asks));
+fn task(node: &Arc<Node>, partition: u32) -> mpsc::Sender<PendingClaim> {
+    let (sender, receiver) = node.scribes.open(partition);
+    if let Some(receiver) = receiver {
+        tokio::spawn(run(Arc::clone(node), partition, receiver));
     }
     sender
 }
 
-/// The scribe of one partition: reads the stream, gathers claims, answers them.
-async fn run(node: Arc<Node>, partition: u32, mut asks: mpsc::Receiver<Asked>) {
+/// Runs the scribe of one partition: reads its stream, batches claims and answers them.
+async fn run(node: Arc<Node>, partition: u32, mut receiver: mpsc::Receiver<PendingClaim>) {
     let claims = &node.settings.claims;
     let mut scribe = Scribe::new(Config {
         batch_interval: claims.batch(),
@@ -173,27 +186,27 @@
     let reader = read_stream(Arc::clone(&node), partition, batches);
     let reader = tokio::spawn(reader);
     let (results, mut appended) = mpsc::channel(1);
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            asked = asks.recv() => {
-                let Some(Asked { ask, answer }) = asked else { break };
-                waiting.insert(ask.record.request.clone(), answer);
-                let answered = scribe.submit(ask, now_millis(), node.now());
-                reply(&mut waiting, answered);
+            pending = receiver.recv() => {
+                let Some(PendingClaim { claim, reply }) = pending else { break };
+                waiting.insert(claim.record.request.clone(), reply);
+                let answered = scribe.submit(claim, now_millis(), node.now());
+                send_replies(&mut waiting, answered);
             }
             batch = read.recv() => {
                 let Some(batch) = batch else { break };
-                reply(&mut waiting, apply(&mut scribe, &batch));
+                send_replies(&mut waiting, apply(&mut scribe, &batch));
             }
             result = appended.recv() => match result {
-                Some((records, Err(fault))) if CallError::had_no_effect(&fault) => {
+                Some((records, Err(error))) if CallError::had_no_effect(&error) => {
                     scribe.not_appended(records);
                 }
                 _ => scribe.appended(),
             },
-            _ = ticks.tick() => reply(&mut waiting, scribe.tick(now_millis(), node.now())),
+            _ = ticks.tick() => send_replies(&mut waiting, scribe.tick(now_millis(), node.now())),
         }
         if let Some(records) = scribe.batch(node.now()) {
             let node = Arc::clone(&node);
@@ -214,7 +227,7 @@
     let mut answers = Vec::new();
     for record in &batch.records {
         let Ok(parsed) = serde_json::from_str::<Record>(&record.text) else {
-            spdlog::error!("claims record {} cannot be read", record.offset);
+            spdlog::error!("claims record {} cannot be decoded", record.offset);
             continue;
         };
         answers.extend(scribe.apply(record.offset, record.at_ms, &parsed));
@@ -225,13 +238,13 @@
     answers
 }
 
-fn reply(
+fn send_replies(
     waiting: &mut HashMap<Request, oneshot::Sender<Outcome>>,
     answers: impl IntoIterator<Item = Answer>,
 ) {
     for answer in answers {
         if let Some(sender) = waiting.remove(&answer.request) {
-            // The asker may have given up.
+            // The receiver may have timed out.
             let _ = sender.send(answer.outcome);
         }
     }
@@ -252,12 +265,12 @@
                     return;
                 }
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// Makes the message of a decision.
+/// Converts an outcome to its wire format.
 pub(crate) fn to_wire(outcome: Outcome) -> ClaimAnswer {
     let plain = |outcome: WireOutcome| ClaimAnswer {
         outcome: outcome.into(),
--- a/crates/ploverwick_daemon/src/controllers/owners.rs
+++ b/crates/ploverwick_daemon/src/controllers/owners.rs
@@ -1,5 +1,5 @@
-//! Keeps ownership: reads the stream of claims, claims what this daemon should own, releases what
-//! it should not.
+//! Ownership of endpoints: reads the log's ownership stream, claims the endpoints that this daemon
+//! should own and releases the others.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,15 +20,16 @@
 use crate::ownership::{STREAM, append};
 use crate::{listing, owner};
 
-/// The pause after a failed read or append.
-const PAUSE: Duration = Duration::from_millis(200);
-/// How often ownership is compared with what it should be.
-const PLAN: Duration = Duration::from_millis(200);
+/// The delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The interval at which actual and desired ownership are compared.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long after its last answer, beyond the wait of a read, the log counts as out.
-const LOG_SILENCE: Duration = Duration::from_millis(500);
+/// How long after the log's last response, in addition to the duration of a long poll, the log is
+/// considered unavailable.
+const LOG_OUTAGE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Follows the stream for as long as it is polled.
+/// Reads the stream and applies its records.
 pub(crate) async fn follow(node: Arc<Node>) {
     let wait = node.settings.table.poll();
     let mut next = Offset(1);
@@ -36,36 +37,36 @@
         match node.log.read(STREAM, next, wait).await {
             Ok(batch) => {
                 *lock(&node.log_read_at) = node.now();
-                next = take(&node, &batch, next).await;
+                next = apply_batch(&node, &batch, next).await;
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn take(node: &Arc<Node>, batch: &Batch, next: Offset) -> Offset {
+async fn apply_batch(node: &Arc<Node>, batch: &Batch, next: Offset) -> Offset {
     let mut changes = Vec::new();
     if batch.start > next && next > Offset(1) {
-        spdlog::warn!("records of ownership were lost to retention");
-        changes.extend(lock(&node.holds).lost_records());
+        spdlog::warn!("records of ownership were removed by retention before they were read");
+        changes.extend(lock(&node.ownership).lost_records());
     }
     let mut next = next.max(batch.start);
     for record in &batch.records {
         next = Offset(record.offset.0 + 1);
         let Ok(parsed) = serde_json::from_str::<Record>(&record.text) else {
-            spdlog::error!("owners record {} cannot be read", record.offset);
+            spdlog::error!("owners record {} cannot be decoded", record.offset);
             continue;
         };
         let now = node.now();
-        changes.extend(lock(&node.holds).apply(record.offset, &parsed, now));
+        changes.extend(lock(&node.ownership).apply(record.offset, &parsed, now));
     }
     for change in changes {
-        tell(node, change).await;
+        notify_task(node, change).await;
     }
     next
 }
 
-async fn tell(node: &Arc<Node>, change: Change) {
+async fn notify_task(node: &Arc<Node>, change: Change) {
     match change {
         Change::Gained(endpoint, token) => {
             let event = Event::new(Kind::Ownership, format!("owned here, token {token}"));
@@ -73,40 +74,40 @@
             let listing = node.listing.borrow().clone();
             if let Some(entry) = listing.endpoint(&endpoint) {
                 owner::ensure(node, entry);
-                node.owners.tell(&endpoint, Command::Gained).await;
+                node.endpoint_tasks.send(&endpoint, Command::Gained).await;
             }
         }
         Change::Lost(endpoint) => {
             let event = Event::new(Kind::Ownership, "owned elsewhere");
             node.record(event.endpoint(&endpoint));
-            node.owners.tell(&endpoint, Command::Lost).await;
+            node.endpoint_tasks.send(&endpoint, Command::Lost).await;
         }
         Change::Announced(endpoint, variant) => {
             let command = Command::Announced(variant, true);
-            node.owners.tell(&endpoint, command).await;
+            node.endpoint_tasks.send(&endpoint, command).await;
         }
         Change::Superseded(endpoint, variant) => {
             let command = Command::Announced(variant, false);
-            node.owners.tell(&endpoint, command).await;
+            node.endpoint_tasks.send(&endpoint, command).await;
         }
     }
 }
 
-/// Compares ownership with what it should be, again and again.
+/// Periodically compares actual and desired ownership, and appends claims and releases.
 pub(crate) async fn plan(node: Arc<Node>) {
-    let mut ticks = tokio::time::interval(PLAN);
+    let mut ticks = tokio::time::interval(PLAN_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut desired = Desired::default();
     loop {
         ticks.tick().await;
-        let records = planned(&node, &mut desired);
+        let records = plan_records(&node, &mut desired);
         if records.is_empty() {
             continue;
         }
         let mut ready = Vec::new();
         for record in records {
             match record {
-                // A release may wait for an order under way, and others must not wait for it.
+                // A release waits for orders in flight, and must not delay the other records.
                 Record::Release { .. } => {
                     tokio::spawn(release(Arc::clone(&node), record));
                 }
@@ -116,49 +117,49 @@
         if ready.is_empty() {
             continue;
         }
-        if let Err(fault) = append(&node, ready).await {
-            spdlog::warn!("cannot claim endpoints: {}", fault);
+        if let Err(error) = append(&node, ready).await {
+            spdlog::warn!("cannot claim endpoints: {}", error);
         }
     }
 }
 
-/// Who should own what, for the list and the instances that it was worked out from.
+/// The desired owners, cached together with the list and the instances that they are computed from.
 ///
-/// Working it out takes a hash for each pair of endpoint and instance, 287,000 at the two-year
-/// size, so it is done on a change only.
+/// The computation takes a hash for each pair of endpoint and instance, 287,000 at the fleet size
+/// expected in two years, so it is only repeated when an input changes.
 #[derive(Debug, Default)]
 struct Desired {
     listing: Arc<Listing>,
-    able: Vec<Instance>,
+    eligible: Vec<Instance>,
     owners: BTreeMap<Endpoint, Instance>,
 }
 
 impl Desired {
-    fn refresh(&mut self, listing: &Arc<Listing>, able: Vec<Instance>) {
-        if Arc::ptr_eq(&self.listing, listing) && self.able == able {
+    fn refresh(&mut self, listing: &Arc<Listing>, eligible: Vec<Instance>) {
+        if Arc::ptr_eq(&self.listing, listing) && self.eligible == eligible {
             return;
         }
-        self.owners = listing::desired_owners(listing, &able);
+        self.owners = listing::desired_owners(listing, &eligible);
         self.listing = Arc::clone(listing);
-        self.able = able;
+        self.eligible = eligible;
     }
 }
 
-fn planned(node: &Node, desired: &mut Desired) -> Vec<Record> {
+fn plan_records(node: &Node, desired: &mut Desired) -> Vec<Record> {
     let listing = node.listing.borrow().clone();
     if listing.instances.is_empty() {
-        // Before the first list nothing is known of the others.
+        // The other instances are unknown before the first list is read.
         return Vec::new();
     }
     if !Arc::ptr_eq(&desired.listing, &listing) {
         let listed = |endpoint: &Endpoint| listing.endpoint(endpoint).is_some();
-        node.owners.retain(listed);
+        node.endpoint_tasks.retain(listed);
         lock(&node.endpoint_status).retain(|endpoint, _| listed(endpoint));
     }
-    let able = lock(&node.members).eligible();
-    desired.refresh(&listing, able);
+    let eligible = lock(&node.members).eligible();
+    desired.refresh(&listing, eligible);
     let members = lock(&node.members);
-    let standing = |life: &_| {
+    let liveness = |life: &_| {
         if members.is_present(life) {
             Liveness::Present
         } else {
@@ -167,29 +168,30 @@
     };
     let now = node.now();
     let silence = now.since(*lock(&node.log_read_at));
-    let log_answers = silence < LOG_SILENCE + node.settings.table.poll();
-    lock(&node.holds).plan(&desired.owners, standing, log_answers, now)
+    let log_available = silence < LOG_OUTAGE_THRESHOLD + node.settings.table.poll();
+    lock(&node.ownership).plan(&desired.owners, liveness, log_available, now)
 }
 
-/// Closes an endpoint's task and releases the endpoint once no unload can strike any more.
+/// Closes an endpoint's task, and releases the endpoint once no unload can take effect any more.
 async fn release(node: Arc<Node>, record: Record) {
     let (sender, closed) = oneshot::channel();
-    let told = node
-        .owners
-        .tell(record.endpoint(), Command::Close(sender))
+    let delivered = node
+        .endpoint_tasks
+        .send(record.endpoint(), Command::Close(sender))
         .await;
-    if told {
-        // The task may end first; then nothing of it is under way.
+    if delivered {
+        // An error means that the task has ended, so it has no order in flight.
         let _ = closed.await;
     }
     let event = Event::new(Kind::Ownership, "releases");
     node.record(event.endpoint(record.endpoint()));
     let endpoint = record.endpoint().clone();
-    if let Err(fault) = append(&node, vec![record]).await {
-        spdlog::warn!("cannot release an endpoint: {}", fault);
-        if fault.had_no_effect() && !node.is_draining() {
-            // Nobody else can own the endpoint yet, so this daemon goes on.
-            node.owners.tell(&endpoint, Command::Gained).await;
+    if let Err(error) = append(&node, vec![record]).await {
+        spdlog::warn!("cannot release an endpoint: {}", error);
+        if error.had_no_effect() && !node.is_draining() {
+            // The release is not in the log, so no other instance can own the endpoint yet. This
+            // daemon continues to own it.
+            node.endpoint_tasks.send(&endpoint, Command::Gained).await;
         }
     }
 }
--- a/crates/ploverwick_daemon/src/controllers/table.rs
+++ b/crates/ploverwick_daemon/src/controllers/table.rs
@@ -1,4 +1,5 @@
-//! Keeps the table in force: reads its stream, asks peers when it cannot, appends snapshots.
+//! The current table: reads the log's table stream, fetches newer tables from peers if the log is
+//! unavailable, and appends snapshots.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,14 +14,14 @@
 use crate::listing;
 use crate::lock::lock;
 use crate::logging::Outage;
-use crate::node::{InForce, Node};
+use crate::node::{CurrentTable, Node};
 
-/// The name of the stream.
+/// The name of the stream in the log.
 pub(crate) const STREAM: &str = "table";
-/// The pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Follows the stream for as long as it is polled.
+/// Reads the stream and applies its records.
 pub(crate) async fn follow(node: Arc<Node>) {
     let wait = node.settings.table.poll();
     let mut outage = Outage::of("the log's table stream");
@@ -29,51 +30,51 @@
         match node.log.read(STREAM, from, wait).await {
             Ok(batch) => {
                 outage.answered();
-                take(&node, &batch);
+                apply_batch(&node, &batch);
             }
-            Err(fault) => {
-                outage.failed(&fault);
-                tokio::time::sleep(PAUSE).await;
+            Err(error) => {
+                outage.failed(&error);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn take(node: &Node, batch: &Batch) {
+fn apply_batch(node: &Node, batch: &Batch) {
     for record in &batch.records {
         let parsed = serde_json::from_str::<Record>(&record.text);
         let Ok(parsed) = parsed else {
-            // A record of a later version of ploverwick: passed over by all that cannot read it.
-            spdlog::error!("table record {} cannot be read", record.offset);
+            // Written by a later version of ploverwick. All instances that cannot decode it skip it.
+            spdlog::error!("table record {} cannot be decoded", record.offset);
             lock(&node.history).skip(record.offset);
             continue;
         };
         let verdict = lock(&node.history).apply(record.offset, &parsed);
-        note(node, record.offset, &verdict);
+        record_verdict(node, record.offset, &verdict);
     }
     publish(node);
 }
 
-fn note(node: &Node, offset: Offset, verdict: &Verdict) {
+fn record_verdict(node: &Node, offset: Offset, verdict: &Verdict) {
     match verdict {
         Verdict::Ignored => return,
-        Verdict::Diverged => spdlog::error!("the table differs from the log's snapshot {}", offset),
+        Verdict::Diverged => spdlog::error!("the table differs from log snapshot {}", offset),
         _ => {}
     }
     let event = Event::new(Kind::Table, format!("record {offset}: {verdict:?}"));
     node.record(event);
 }
 
-/// Puts a newer table in force. A daemon never goes back.
+/// Publishes the table to the other tasks if it is newer. A daemon never reverts to an older one.
 fn publish(node: &Node) {
     let (version, table) = {
         let history = lock(&node.history);
         (history.version(), Arc::clone(history.table()))
     };
-    let changed = node.in_force.send_if_modified(|in_force| {
-        let newer = version > in_force.version;
+    let changed = node.current_table.send_if_modified(|current_table| {
+        let newer = version > current_table.version;
         if newer {
-            *in_force = InForce { version, table };
+            *current_table = CurrentTable { version, table };
         }
         newer
     });
@@ -88,15 +89,15 @@
     }
 }
 
-/// Asks a peer for a table that is newer than this daemon's.
+/// Fetches the table from a peer if it is newer than this daemon's.
 pub(crate) async fn fetch(node: Arc<Node>, address: SocketAddr) {
     let have = lock(&node.history).version().0;
-    let Ok(mut link) = node.links.get(address).await else {
+    let Ok(mut peer) = node.peer_connections.get(address).await else {
         return;
     };
-    match link.fetch(FetchAsk { have }).await {
+    match peer.fetch(FetchAsk { have }).await {
         Ok(copy) => adopt(&node, &copy.into_inner()),
-        Err(_) => node.links.forget(address),
+        Err(_) => node.peer_connections.remove(address),
     }
 }
 
@@ -111,7 +112,8 @@
     publish(node);
 }
 
-/// Makes a copy for a peer that has version `have`.
+/// Returns a copy of the table for a peer that has version `have`, or an empty copy if there is no
+/// newer one.
 pub(crate) fn copy(node: &Node, have: u64) -> TableCopy {
     let history = lock(&node.history);
     if history.version().0 <= have || history.has_gap() {
@@ -124,9 +126,9 @@
     }
 }
 
-/// Appends a snapshot from time to time, so that the table outlives the log's retention. One
-/// instance does, chosen by hash; two at once do no harm.
-pub(crate) async fn snapshots(node: Arc<Node>) {
+/// Periodically appends a snapshot, so that the table is not lost to the log's retention. One
+/// instance, chosen by hash, does this; redundant snapshots are harmless.
+pub(crate) async fn append_snapshots(node: Arc<Node>) {
     let period = node.settings.table.snapshot();
     loop {
         tokio::time::sleep(period).await;
@@ -139,13 +141,13 @@
             continue;
         };
         let text = serde_json::to_string(&Record::Snapshot(snapshot)).unwrap_or_default();
-        if let Err(fault) = node.log.append(STREAM, vec![text]).await {
-            spdlog::warn!("cannot append a table snapshot: {}", fault);
+        if let Err(error) = node.log.append(STREAM, vec![text]).await {
+            spdlog::warn!("cannot append a table snapshot: {}", error);
         }
     }
 }
 
 fn is_chosen(node: &Node) -> bool {
-    let able = lock(&node.members).eligible();
-    listing::chosen(STREAM, &able).is_some_and(|chosen| chosen == node.life.instance)
+    let eligible = lock(&node.members).eligible();
+    listing::choose_instance(STREAM, &eligible).is_some_and(|chosen| chosen == node.life.instance)
 }
--- a/crates/ploverwick_daemon/src/daemon.rs
+++ b/crates/ploverwick_daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon and lets it leave.
+//! Startup and graceful shutdown of a daemon.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,7 +10,7 @@
 use ploverwick_limits::{PriorUse, RateLimiter};
 use ploverwick_members::Controller as Members;
 use ploverwick_names::{Incarnation, Life, Moment};
-use ploverwick_owner::ownership::Controller as Holds;
+use ploverwick_owner::ownership::Controller as Ownership;
 use ploverwick_ports::client::Client;
 use ploverwick_ports::log::Log;
 use ploverwick_serve::{Bounds, Server, StopGuard, stop_channel};
@@ -25,26 +25,26 @@
 use tonic::transport::server::TcpIncoming;
 
 use crate::admin::{self, Admin};
-use crate::answer::Answers;
-use crate::budget::{Loads, Retries};
-use crate::commands::Owners;
+use crate::budget::{LoadBudget, RetryBudget};
+use crate::commands::EndpointTasks;
 use crate::controllers::{members, owners, table};
 use crate::entry::Entry;
-use crate::links::Links;
 use crate::lock::lock;
-use crate::node::{InForce, Node};
+use crate::node::{CurrentTable, Node};
 use crate::peer::Service;
+use crate::peer_connections::PeerConnections;
+use crate::response::ResponseCache;
 use crate::scribes::Scribes;
 use crate::status::OwnedEndpoint;
 
-/// The largest message from another daemon.
-const MAX_MESSAGE: usize = 64 << 20;
-/// How often a leaving daemon looks whether its endpoints are handed over.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// How long endpoints may take to be handed over, once no request runs.
-const HAND_OVER: Duration = Duration::from_secs(5);
+/// The maximum size of a message from another daemon.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// How often a draining daemon checks whether its endpoints have been handed over.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long the handover of endpoints may take once no request is running.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Says why a daemon did not start.
+/// The error returned when a daemon cannot listen on one of its addresses.
 #[derive(Debug)]
 pub struct StartError {
     address: SocketAddr,
@@ -63,7 +63,7 @@
 
 impl std::error::Error for StartError {}
 
-/// A daemon that runs until it is dropped or has left.
+/// A running daemon. It stops when it is dropped or drained.
 pub struct Daemon {
     node: Arc<Node>,
     callers: SocketAddr,
@@ -73,17 +73,18 @@
     stop_entry: StopGuard,
     _stop_admin: StopGuard,
     tasks: JoinSet<()>,
-    _ending: Ending,
+    _close_on_drop: CloseOnDrop,
 }
 
-/// Closes the channels of the tasks that the node itself keeps, which ends them.
-struct Ending {
+/// Closes the channels of the endpoint and scribe tasks on drop, which ends these tasks. They are
+/// not part of `Daemon::tasks`.
+struct CloseOnDrop {
     node: Arc<Node>,
 }
 
-impl Drop for Ending {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
-        self.node.owners.retain(|_| false);
+        self.node.endpoint_tasks.retain(|_| false);
         self.node.scribes.close();
     }
 }
@@ -92,14 +93,14 @@
     /// Starts a daemon.
     ///
     /// # Errors
-    /// Fails if one of the addresses cannot be listened on.
+    /// Returns an error if one of the addresses cannot be bound.
     pub async fn start(settings: Settings) -> Result<Self, StartError> {
         admin::install_metrics();
         let callers = listen(settings.listen.callers).await?;
         let peers = listen(settings.listen.peers).await?;
         let admin = listen(settings.listen.admin).await?;
-        let peer_address = local(&peers, settings.listen.peers)?;
-        let node = Arc::new(make_node(settings, peer_address));
+        let peer_address = local_address(&peers, settings.listen.peers)?;
+        let node = Arc::new(create_node(settings, peer_address));
         let mut tasks = JoinSet::new();
         serve_peers(&node, peers, &mut tasks);
         let (stop_entry, stopped) = stop_channel();
@@ -110,24 +111,25 @@
         let entry = Arc::new(Entry {
             node: Arc::clone(&node),
         });
-        let fail = |address| move |cause| StartError { address, cause };
+        let start_error = |address| move |cause| StartError { address, cause };
         let listen = node.settings.listen.clone();
-        let entry = Server::start(callers, entry, bounds, stopped).map_err(fail(listen.callers))?;
+        let entry =
+            Server::start(callers, entry, bounds, stopped).map_err(start_error(listen.callers))?;
         let (stop_admin, stopped) = stop_channel();
         let handler = Arc::new(Admin {
             node: Arc::clone(&node),
         });
         let admin = Server::start(admin, handler, Bounds::default(), stopped)
-            .map_err(fail(listen.admin))?;
+            .map_err(start_error(listen.admin))?;
         tasks.spawn(table::follow(Arc::clone(&node)));
-        tasks.spawn(table::snapshots(Arc::clone(&node)));
-        tasks.spawn(members::follow_list(Arc::clone(&node)));
-        tasks.spawn(members::beat(Arc::clone(&node)));
+        tasks.spawn(table::append_snapshots(Arc::clone(&node)));
+        tasks.spawn(members::poll_listing(Arc::clone(&node)));
+        tasks.spawn(members::probe_members(Arc::clone(&node)));
         tasks.spawn(owners::follow(Arc::clone(&node)));
         tasks.spawn(owners::plan(Arc::clone(&node)));
         spdlog::info!("started", kv: { instance = node.life.instance.as_str() });
         Ok(Self {
-            _ending: Ending {
+            _close_on_drop: CloseOnDrop {
                 node: Arc::clone(&node),
             },
             callers: entry.address(),
@@ -141,71 +143,75 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where other daemons connect.
+    /// Returns the address for other daemons.
     pub fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Returns where operators connect.
+    /// Returns the address for operators.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Leaves without interrupting a request: reports that it is not ready, refuses new requests,
-    /// hands its endpoints over, and finishes what runs, for at most the settings' grace.
+    /// Shuts down gracefully: reports not ready, refuses new requests, hands over its endpoints and
+    /// waits for running requests, at most for the grace period in the settings.
     pub async fn drain(mut self) {
         let node = Arc::clone(&self.node);
         let drain = node.settings.drain.clone();
         node.record(Event::new(Kind::Member, "drains"));
         spdlog::info!("draining", kv: { instance = node.life.instance.as_str() });
         node.draining.store(true, Ordering::Release);
-        // From now on the endpoints' desired owners are others, and releases are planned.
+        // A leaving instance is no longer a desired owner, so the controller plans to release its
+        // endpoints.
         lock(&node.members).leave();
         tokio::time::sleep(drain.announce()).await;
         drop(self.stop_entry);
         let finishing = async {
             self.entry.finished().await;
-            settled(&node).await;
+            wait_until_settled(&node).await;
         };
         if tokio::time::timeout(drain.grace(), finishing)
             .await
             .is_err()
         {
-            spdlog::warn!("the grace is over; requests are cut off");
+            spdlog::warn!("the grace period has expired; aborting running requests");
         }
         self.tasks.shutdown().await;
         node.record(Event::new(Kind::Member, "has left"));
     }
 }
 
-/// Returns once nothing runs on this daemon's endpoints and its successors may know.
-async fn settled(node: &Node) {
+/// Waits until nothing runs on this daemon's endpoints and the log records that.
+async fn wait_until_settled(node: &Node) {
     while any_endpoint(node, |endpoint| endpoint.running + endpoint.waiting > 0) {
-        tokio::time::sleep(DRAIN_POLL).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // An order under way ends, the release and then the quit go to the log. Without the quit a
-    // successor unloads nothing until this life is known to have ended.
+    // Orders in flight complete, then the release and the quit are appended to the log. Without the
+    // quit a successor unloads nothing until this process is known to have ended.
     let handed_over = async {
-        while lock(&node.holds).owned().next().is_some()
+        while lock(&node.ownership).owned().next().is_some()
             || any_endpoint(node, |endpoint| !endpoint.settled)
         {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        // The last of these records may still be on its way.
-        tokio::time::sleep(2 * DRAIN_POLL).await;
+        // The append of the last record may still be in flight.
+        tokio::time::sleep(2 * DRAIN_POLL_INTERVAL).await;
     };
-    if tokio::time::timeout(HAND_OVER, handed_over).await.is_err() {
+    if tokio::time::timeout(HANDOVER_TIMEOUT, handed_over)
+        .await
+        .is_err()
+    {
         spdlog::warn!("endpoints were not handed over in time");
     }
 }
 
-fn any_endpoint(node: &Node, holds: impl Fn(&OwnedEndpoint) -> bool) -> bool {
-    lock(&node.endpoint_status).values().any(holds)
+fn any_endpoint(node: &Node, predicate: impl Fn(&OwnedEndpoint) -> bool) -> bool {
+    lock(&node.endpoint_status).values().any(predicate)
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, StartError> {
@@ -214,7 +220,7 @@
         .map_err(|cause| StartError { address, cause })
 }
 
-fn local(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
+fn local_address(listener: &TcpListener, address: SocketAddr) -> Result<SocketAddr, StartError> {
     listener
         .local_addr()
         .map_err(|cause| StartError { address, cause })
@@ -224,22 +230,22 @@
     let service = PeerServer::new(Service {
         node: Arc::clone(node),
     })
-    .max_decoding_message_size(MAX_MESSAGE)
-    .max_encoding_message_size(MAX_MESSAGE);
-    // The server's own switch does not reach a listener that is handed to it, and without it each
-    // answer waits 40 ms for an acknowledgement.
+    .max_decoding_message_size(MAX_MESSAGE_BYTES)
+    .max_encoding_message_size(MAX_MESSAGE_BYTES);
+    // The server's own `tcp_nodelay` option does not apply to a listener that is passed in. Without
+    // it each response is delayed by 40 ms, waiting for an acknowledgement.
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
     let server = tonic::transport::Server::builder()
         .add_service(service)
         .serve_with_incoming(incoming);
     tasks.spawn(async move {
         if let Err(error) = server.await {
-            spdlog::error!("the peers' server ended: {}", error);
+            spdlog::error!("the server for peers failed: {}", error);
         }
     });
 }
 
-fn make_node(settings: Settings, peer_address: SocketAddr) -> Node {
+fn create_node(settings: Settings, peer_address: SocketAddr) -> Node {
     let life = Life {
         instance: settings.instance.name.clone(),
         incarnation: Incarnation(now_millis()),
@@ -248,7 +254,7 @@
     let platform = &settings.platform;
     let log = Log::new(client.clone(), platform.log, platform.timeout());
     let ownership = &settings.ownership;
-    let holds = ploverwick_owner::ownership::Config {
+    let ownership_config = ploverwick_owner::ownership::Config {
         order_lag: ownership.order_lag(),
         refresh: ownership.refresh(),
     };
@@ -260,19 +266,19 @@
     Node {
         recorder: Recorder::new(life.instance.as_str(), settings.timeline.events),
         members: Mutex::new(Members::new(life.clone(), peer_address, membership)),
-        holds: Mutex::new(Holds::new(life.clone(), holds)),
-        answers: Answers::new(settings.limits.kept_answers_bytes),
-        in_force: watch::Sender::new(InForce::default()),
+        ownership: Mutex::new(Ownership::new(life.clone(), ownership_config)),
+        responses: ResponseCache::new(settings.limits.kept_answers_bytes),
+        current_table: watch::Sender::new(CurrentTable::default()),
         history: Mutex::new(History::default()),
         listing: watch::Sender::default(),
-        listed: OnceLock::new(),
+        listed_at: OnceLock::new(),
         log_read_at: Mutex::new(start),
-        owners: Owners::default(),
+        endpoint_tasks: EndpointTasks::default(),
         scribes: Scribes::default(),
-        links: Links::default(),
-        loads: Mutex::new(Loads::new(start)),
-        retries: Mutex::new(Retries::new()),
-        // Nothing tells a daemon whether the system starts for the first time.
+        peer_connections: PeerConnections::default(),
+        load_budget: Mutex::new(LoadBudget::new(start)),
+        retry_budget: Mutex::new(RetryBudget::new()),
+        // A daemon cannot tell whether the whole system starts for the first time.
         rates: Mutex::new(RateLimiter::new(PriorUse::Unknown)),
         endpoint_status: Mutex::new(BTreeMap::new()),
         draining: AtomicBool::new(false),
--- a/crates/ploverwick_daemon/src/entry.rs
+++ b/crates/ploverwick_daemon/src/entry.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests over HTTP.
+//! The HTTP interface for callers.
 
 use std::io;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-use crate::answer::{PARTS_AHEAD, Sink};
 use crate::chain::{self, Exchange, refuse};
 use crate::node::Node;
 use crate::relay::relay;
-use crate::{admin, joining, reply, service};
+use crate::response::{PART_CHANNEL_CAPACITY, Sink};
+use crate::{admin, idempotency, reply, service};
 
-/// The paths that run a model.
+/// The paths of requests to a model.
 const MODEL_PATHS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
 
-/// The callers' side of a daemon.
+/// Handles requests from callers.
 pub(crate) struct Entry {
     pub(crate) node: Arc<Node>,
 }
@@ -65,7 +65,7 @@
 }
 
 impl Entry {
-    /// Lists the table's adapters on each base model that an endpoint serves.
+    /// Returns the adapters in the table, combined with each base model that an endpoint serves.
     fn models(&self) -> Reply {
         let listing = self.node.listing.borrow().clone();
         let mut bases: Vec<&str> = listing
@@ -78,7 +78,7 @@
             .collect();
         bases.sort_unstable();
         bases.dedup();
-        let table = self.node.in_force.borrow().table.clone();
+        let table = self.node.current_table.borrow().table.clone();
         let adapters = table.rows().filter_map(|(subject, _)| match subject {
             Subject::Adapter(adapter) => Some(adapter),
             Subject::Group(_) | Subject::All => None,
@@ -129,15 +129,15 @@
                 .adapter(&exchange.model.adapter),
         );
         let request = exchange.request.clone();
-        let streams = exchange.stream;
-        let (sender, parts) = mpsc::channel(PARTS_AHEAD);
-        if exchange.keyed.is_some() {
+        let stream_requested = exchange.stream;
+        let (sender, parts) = mpsc::channel(PART_CHANNEL_CAPACITY);
+        if exchange.idempotency_key.is_some() {
             let node = Arc::clone(&self.node);
-            tokio::spawn(joining::run(node, exchange, sender));
+            tokio::spawn(idempotency::run(node, exchange, sender));
         } else {
             let node = Arc::clone(&self.node);
             tokio::spawn(relay(node, exchange, Sink::Direct(sender)));
         }
-        reply::answer(parts, &request, streams).await
+        reply::from_parts(parts, &request, stream_requested).await
     }
 }
--- a/crates/ploverwick_daemon/src/joining.rs
+++ b/crates/ploverwick_daemon/src/idempotency.rs
@@ -1,8 +1,9 @@
-//! Requests with a key: one run, whose answer every repeat gets.
+//! Requests with an idempotency key, which run once and whose repeats receive the same response.
 //!
-//! A key's answer is kept at the entry that runs it. A repeat at the same entry reads it; a repeat
-//! elsewhere finds its place through the claim in the log. Only the winner of a claim may run a
-//! non-idempotent request, and a winner that does not run it gives the claim back.
+//! The response is cached on the instance that received the first request. A repeat on the same
+//! instance reads it from the cache; on another instance the claim in the log shows which instance
+//! holds it. A non-idempotent request may only run if it wins the claim of its key, and forfeits the
+//! claim if it does not run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,35 +16,42 @@
 use ploverwick_wire::{JoinAsk, frame};
 use tokio::sync::mpsc;
 
-use crate::answer::{Answer, Entry, Head, Part, Sink};
-use crate::chain::{Exchange, Keyed, refuse, remaining};
+use crate::chain::{Exchange, IdempotencyKey, refuse, remaining};
 use crate::controllers::claims;
 use crate::lock::lock;
 use crate::node::Node;
 use crate::relay::frames::Frames;
 use crate::relay::relay;
+use crate::response::{CachedResponse, Head, Lookup, Part, Sink};
 
-const LOG_HINT: Duration = Duration::from_secs(1);
+const LOG_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs a keyed request, or joins the run that its key already has.
+/// Runs a request with a key, or attaches it to the existing run of that key.
 pub(crate) async fn run(node: Arc<Node>, exchange: Exchange, sender: mpsc::Sender<Part>) {
-    let Some(keyed) = exchange.keyed else { return };
+    let Some(idempotency_key) = exchange.idempotency_key else {
+        return;
+    };
     let after = exchange.resume_after;
-    let left = remaining(&node, exchange.deadline);
-    let answer = match node.answers.entry(keyed.key, &exchange.request) {
-        Entry::Found(answer) => {
-            let event = Event::new(Kind::Claim, format!("joins {}", answer.request));
+    let time_left = remaining(&node, exchange.deadline);
+    let response = match node.responses.entry(idempotency_key.key, &exchange.request) {
+        Lookup::Found(response) => {
+            let event = Event::new(Kind::Claim, format!("joins {}", response.request));
             node.record(event.request(&exchange.request));
-            answer
+            response
         }
-        Entry::Begun(answer) => {
-            let begun = Arc::clone(&answer);
-            tokio::spawn(begin(Arc::clone(&node), exchange, keyed, begun));
-            answer
+        Lookup::Started(response) => {
+            let started = Arc::clone(&response);
+            tokio::spawn(run_first(
+                Arc::clone(&node),
+                exchange,
+                idempotency_key,
+                started,
+            ));
+            response
         }
     };
     let late = sender.clone();
-    if tokio::time::timeout(left, answer.read(after, sender))
+    if tokio::time::timeout(time_left, response.read(after, sender))
         .await
         .is_err()
     {
@@ -53,30 +61,37 @@
     }
 }
 
-/// Fills a begun answer: by running the request, or from whoever holds its key.
-async fn begin(node: Arc<Node>, exchange: Exchange, keyed: Keyed, answer: Arc<Answer>) {
+/// Fills a new cache entry, by running the request or by copying the response from the instance that
+/// holds the key.
+async fn run_first(
+    node: Arc<Node>,
+    exchange: Exchange,
+    idempotency_key: IdempotencyKey,
+    response: Arc<CachedResponse>,
+) {
     let request = exchange.request.clone();
-    let sink = Sink::Kept(Arc::clone(&answer));
+    let sink = Sink::Cached(Arc::clone(&response));
     let verdict = if exchange.idempotent {
-        first_run(&node, exchange, sink).await
+        run_idempotent(&node, exchange, sink).await
     } else {
-        claim_and_run(&node, exchange, keyed, sink).await
+        claim_and_run(&node, exchange, idempotency_key, sink).await
     };
     if verdict.code().class() == Class::NotRun {
-        node.answers.remove(&keyed.key, &request);
+        node.responses.remove(&idempotency_key.key, &request);
     } else {
-        node.answers.finished(keyed.key, &answer);
+        node.responses.finished(idempotency_key.key, &response);
     }
 }
 
 async fn end(sink: &Sink, verdict: Verdict) -> Verdict {
-    // A kept answer takes every part.
+    // A cached response accepts every part.
     let _ = sink.send(Part::End(verdict.clone())).await;
     verdict
 }
 
-/// Runs a request that has no answer here. One that resumes would need the earlier run's rest.
-async fn first_run(node: &Arc<Node>, mut exchange: Exchange, sink: Sink) -> Verdict {
+/// Runs an idempotent request that has no cached response here. One that resumes is refused, because
+/// it needs the rest of the earlier run.
+async fn run_idempotent(node: &Arc<Node>, mut exchange: Exchange, sink: Sink) -> Verdict {
     if exchange.resume_after > 0 {
         let verdict = refuse(
             Code::ResumeUnknown,
@@ -91,27 +106,28 @@
 async fn claim_and_run(
     node: &Arc<Node>,
     mut exchange: Exchange,
-    keyed: Keyed,
+    idempotency_key: IdempotencyKey,
     sink: Sink,
 ) -> Verdict {
     let event = |what: String| {
         node.record(Event::new(Kind::Claim, what).request(&exchange.request));
     };
-    match claims::claim(node, &exchange.request, keyed).await {
+    match claims::claim(node, &exchange.request, idempotency_key).await {
         Outcome::Won => {
             event("wins its key".to_owned());
-            // Whatever the caller has of an earlier answer, this run starts at the beginning.
+            // This run starts from the beginning, even if the caller has received a part of an
+            // earlier response.
             exchange.resume_after = 0;
             let request = exchange.request.clone();
             let verdict = relay(Arc::clone(node), exchange, sink).await;
             if verdict.code().class() == Class::NotRun {
-                claims::forfeit(node, &request, keyed);
+                claims::forfeit(node, &request, idempotency_key);
             }
             verdict
         }
         Outcome::Lost(holder) => {
             event(format!("loses its key to {}", holder.request));
-            join(node, &holder, keyed, &sink).await
+            join(node, &holder, idempotency_key, &sink).await
         }
         Outcome::Expired => {
             let message = "the key is outside the window in which repeats are recognised";
@@ -120,16 +136,21 @@
         Outcome::Unconfirmed => {
             event("gives up its claim: the log does not confirm".to_owned());
             let verdict = refuse(Code::LogUnavailable, "the log does not confirm the key");
-            let verdict = end(&sink, verdict.retry_after(LOG_HINT)).await;
-            // The claim may still take effect; without this the key would stay taken.
-            claims::forfeit(node, &exchange.request, keyed);
+            let verdict = end(&sink, verdict.retry_after(LOG_RETRY_AFTER)).await;
+            // The claim may still take effect. Without the forfeit the key would then be blocked.
+            claims::forfeit(node, &exchange.request, idempotency_key);
             verdict
         }
     }
 }
 
-/// Copies the answer from the entry that holds the key.
-pub(crate) async fn join(node: &Arc<Node>, holder: &Holder, keyed: Keyed, sink: &Sink) -> Verdict {
+/// Copies the response from the instance that holds the key.
+pub(crate) async fn join(
+    node: &Arc<Node>,
+    holder: &Holder,
+    idempotency_key: IdempotencyKey,
+    sink: &Sink,
+) -> Verdict {
     let unknown = |message: String| Attempt::new().send().fail(Code::OutcomeUnknown, message);
     let address = {
         let members = lock(&node.members);
@@ -143,37 +164,41 @@
         return end(sink, unknown(message)).await;
     };
     if holder.life == node.life {
-        // The answer was here and is not any more, or the claim was given up and not yet back.
-        return end(sink, gone_here(node, holder, keyed)).await;
+        // The response was evicted, or the claim was abandoned and is not forfeited yet.
+        return end(sink, missing_response(node, holder, idempotency_key)).await;
     }
-    let ask = JoinAsk {
-        key: keyed.key.as_bytes().to_vec().into(),
+    let message = JoinAsk {
+        key: idempotency_key.key.as_bytes().to_vec().into(),
         request: holder.request.to_string(),
         resume_after: 0,
     };
-    let frames = Frames::join(node, address, ask).await;
+    let frames = Frames::join(node, address, message).await;
     let verdict = match frames {
-        Ok(mut frames) => copy(&mut frames, sink).await,
+        Ok(mut frames) => copy_frames(&mut frames, sink).await,
         Err(cause) => unknown(format!("cannot ask {}: {cause}", holder.life)),
     };
     end(sink, verdict).await
 }
 
-/// Says what became of a request of this life whose answer is not held.
-pub(crate) fn gone_here(node: &Arc<Node>, holder: &Holder, keyed: Keyed) -> Verdict {
-    if claims::was_given_up(node, &holder.request) {
-        claims::forfeit(node, &holder.request, keyed);
+/// Returns the verdict of a request of this process whose response is not cached.
+pub(crate) fn missing_response(
+    node: &Arc<Node>,
+    holder: &Holder,
+    idempotency_key: IdempotencyKey,
+) -> Verdict {
+    if claims::was_abandoned(node, &holder.request) {
+        claims::forfeit(node, &holder.request, idempotency_key);
         let verdict = refuse(
             Code::LogUnavailable,
             "an earlier try of the key is being undone",
         );
-        return verdict.retry_after(LOG_HINT);
+        return verdict.retry_after(LOG_RETRY_AFTER);
     }
     let sent = Attempt::new().send();
     sent.fail(Code::AnswerLost, "the answer is no longer held")
 }
 
-async fn copy(frames: &mut Frames, sink: &Sink) -> Verdict {
+async fn copy_frames(frames: &mut Frames, sink: &Sink) -> Verdict {
     let sent = Attempt::new().send();
     loop {
         let part = match frames.next().await {
--- a/crates/ploverwick_daemon/src/lib.rs
+++ b/crates/ploverwick_daemon/src/lib.rs
@@ -1,20 +1,18 @@
-//! The daemon: a thin shell of tasks around the decision crates.
+//! The daemon: a thin layer of async tasks around the crates that make the decisions.
 //!
-//! Requests pass a [`chain`] of filters and are then relayed by [`relay`] to the owner of an
-//! endpoint. State is kept by a set of [`controllers`], one for each thing that daemons agree on.
-//! What is decided, and why, stands in the crates `ploverwick_owner`, `ploverwick_claims`,
+//! A request passes a [`chain`] of filters, and [`relay`] then forwards it to the owner of an
+//! endpoint. The [`controllers`] maintain the state shared between daemons, with one task for each
+//! kind of state. The decision logic is in the crates `ploverwick_owner`, `ploverwick_claims`,
 //! `ploverwick_members`, `ploverwick_table` and `ploverwick_placement`.
 
 mod admin;
-mod answer;
 mod budget;
 mod chain;
 mod commands;
 mod controllers;
 mod daemon;
 mod entry;
-mod joining;
-mod links;
+mod idempotency;
 mod listing;
 mod lock;
 pub mod logging;
@@ -22,8 +20,10 @@
 mod owner;
 mod ownership;
 mod peer;
+mod peer_connections;
 mod relay;
 mod reply;
+mod response;
 mod route;
 mod scribes;
 mod service;
--- a/crates/ploverwick_daemon/src/listing.rs
+++ b/crates/ploverwick_daemon/src/listing.rs
@@ -1,4 +1,4 @@
-//! Questions to the platform's list.
+//! Queries on the platform's list of instances and endpoints.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use ploverwick_placement::{choose, even};
 use ploverwick_ports::roster::{EndpointEntry, Listing, Serves, State};
 
-/// Lists the endpoints of a base model that take new work.
+/// Returns the endpoints of a base model that accept new work.
 pub(crate) fn serving<'a>(
     listing: &'a Listing,
     base: &'a str,
@@ -16,7 +16,7 @@
     live(listing).filter(move |entry| wanted(&entry.serves))
 }
 
-/// Lists the endpoints of a plain service that take new work.
+/// Returns the endpoints of a plain service that accept new work.
 pub(crate) fn service<'a>(
     listing: &'a Listing,
     name: &'a str,
@@ -30,7 +30,7 @@
     endpoints.filter(|entry| entry.state == State::Live)
 }
 
-/// Returns the instances as membership takes them.
+/// Returns the listed instances in the form that membership expects.
 pub(crate) fn instances(listing: &Listing) -> BTreeMap<Instance, ListEntry> {
     let entries = listing.instances.iter();
     let listed = entries.map(|entry| {
@@ -43,10 +43,13 @@
     listed.collect()
 }
 
-/// Decides which instance should own each model endpoint, one that leaves included: what runs on
-/// it still needs an owner.
-pub(crate) fn desired_owners(listing: &Listing, able: &[Instance]) -> BTreeMap<Endpoint, Instance> {
-    let candidates = even(able.iter().map(Instance::as_str));
+/// Determines which instance should own each model endpoint. Leaving endpoints are included, because
+/// their running requests still need an owner.
+pub(crate) fn desired_owners(
+    listing: &Listing,
+    eligible: &[Instance],
+) -> BTreeMap<Endpoint, Instance> {
+    let candidates = even(eligible.iter().map(Instance::as_str));
     let models = listing
         .endpoints
         .iter()
@@ -54,14 +57,14 @@
     models
         .filter_map(|entry| {
             let index = choose(entry.name.as_str(), &candidates)?;
-            Some((entry.name.clone(), able[index].clone()))
+            Some((entry.name.clone(), eligible[index].clone()))
         })
         .collect()
 }
 
-/// Chooses one of the instances for a piece of work that any of them can do.
-pub(crate) fn chosen(key: &str, able: &[Instance]) -> Option<Instance> {
-    let candidates = even(able.iter().map(Instance::as_str));
+/// Chooses one of the instances for a task that any of them can perform, by the hash of `key`.
+pub(crate) fn choose_instance(key: &str, eligible: &[Instance]) -> Option<Instance> {
+    let candidates = even(eligible.iter().map(Instance::as_str));
     let index = choose(key, &candidates)?;
-    able.get(index).cloned()
+    eligible.get(index).cloned()
 }
--- a/crates/ploverwick_daemon/src/logging.rs
+++ b/crates/ploverwick_daemon/src/logging.rs
@@ -1,6 +1,6 @@
-//! Sets up structured logs.
+//! Structured logging.
 //!
-//! Every line of a request carries its identifier. Prompts, keys and tokens are never logged.
+//! Every log line about a request contains its ID. Prompts, keys and tokens are never logged.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use spdlog::sink::{SinkPropAccess, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 
-/// Makes the default logger, which writes to the standard error stream.
+/// Installs the default logger, which writes to standard error.
 ///
 /// # Errors
-/// Fails if the stream cannot be written to.
+/// Returns an error if standard error cannot be opened or the logger cannot be built.
 pub fn set_up(logging: &Logging) -> Result<()> {
     let formatter: Box<dyn Formatter> = match logging.format.as_str() {
         "json" => Box::new(JsonFormatter::new()),
@@ -22,14 +22,14 @@
     let sink = StdStreamSink::builder()
         .stderr()
         .build()
-        .context("open the log stream")?;
+        .context("failed to open standard error for logging")?;
     sink.set_formatter(formatter);
     let logger = Logger::builder()
         .sink(Arc::new(sink))
         .level_filter(filter(&logging.level))
         .build()
-        .context("make the logger")?;
-    // Warnings matter at once; the rest may wait for the buffer.
+        .context("failed to build the logger")?;
+    // Every line is flushed at once.
     logger.set_flush_level_filter(LevelFilter::All);
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
@@ -45,7 +45,7 @@
     LevelFilter::MoreSevereEqual(level)
 }
 
-/// Logs the start and the end of a time in which something does not answer, not every try.
+/// Logs the start and the end of an outage of a service, instead of every failed attempt.
 #[derive(Debug)]
 pub(crate) struct Outage {
     what: &'static str,
@@ -53,7 +53,7 @@
 }
 
 impl Outage {
-    /// Starts with an answer expected of `what`.
+    /// Creates a tracker for the service `what`, which is assumed to be available.
     pub(crate) fn of(what: &'static str) -> Self {
         Self {
             what,
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Says that there was an answer.
+    /// Records a response, and logs the end of an outage.
     pub(crate) fn answered(&mut self) {
         if std::mem::take(&mut self.lasting) {
             spdlog::info!("{} answers again", self.what);
         }
     }
 
-    /// Says that there was none.
+    /// Records a failed attempt, and logs the start of an outage.
     pub(crate) fn failed(&mut self, cause: &dyn std::fmt::Display) {
         if !std::mem::replace(&mut self.lasting, true) {
             spdlog::warn!("{} does not answer: {}", self.what, cause);
--- a/crates/ploverwick_daemon/src/owner.rs
+++ b/crates/ploverwick_daemon/src/owner.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this daemon owns, each with a task of its own.
+//! The endpoints that this daemon owns. Each one is run by its own task.
 
 mod orders;
 mod send;
@@ -10,9 +10,9 @@
 
 use crate::node::Node;
 
-/// Starts an endpoint's task, unless it runs.
+/// Starts an endpoint's task unless it is already running.
 pub(crate) fn ensure(node: &Arc<Node>, entry: &EndpointEntry) {
-    if let Some((sender, commands)) = node.owners.open(&entry.name) {
+    if let Some((sender, commands)) = node.endpoint_tasks.open(&entry.name) {
         let node = Arc::clone(node);
         tokio::spawn(task::run(node, entry.clone(), sender, commands));
     }
--- a/crates/ploverwick_daemon/src/owner/orders.rs
+++ b/crates/ploverwick_daemon/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and what their answers mean.
+//! Orders to engines, and the interpretation of their results.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::lock::lock;
 use crate::node::Node;
 
-/// How long a load may take.
-const LOAD_PATIENCE: Duration = Duration::from_mins(2);
+/// The timeout of a load order.
+const LOAD_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// Returns how many loads this instance may start now.
+/// Returns the number of loads that this instance may start now.
 pub(super) fn loads_available(node: &Node, now: Moment) -> u32 {
     let store = &node.settings.store;
     let limits = LoadLimits {
@@ -23,10 +23,10 @@
         at_once: store.loads_at_once,
         instances: node.fleet_size(),
     };
-    lock(&node.loads).available(limits, now)
+    lock(&node.load_budget).available(limits, now)
 }
 
-/// Asks an engine for its report.
+/// Requests a status report from an engine.
 pub(super) async fn report(engine: &Engine) -> Command {
     let Ok(report) = engine.report().await else {
         return Command::Reported(None, false);
@@ -45,20 +45,20 @@
     Command::Reported(Some(seen), report.leaving)
 }
 
-/// Orders a load.
+/// Orders an engine to load an adapter.
 pub(super) async fn load(engine: &Engine, order: &Order) -> Outcome {
-    outcome(engine.load(order, LOAD_PATIENCE).await.err())
+    outcome(engine.load(order, LOAD_TIMEOUT).await.err())
 }
 
-/// Orders an unload.
+/// Orders an engine to unload an adapter.
 pub(super) async fn unload(engine: &Engine, order: &Order) -> Outcome {
     outcome(engine.unload(order).await.err())
 }
 
-fn outcome(fault: Option<CallError>) -> Outcome {
-    match fault {
+fn outcome(error: Option<CallError>) -> Outcome {
+    match error {
         None => Outcome::Done,
-        Some(fault) if fault.had_no_effect() => Outcome::Refused,
+        Some(error) if error.had_no_effect() => Outcome::Refused,
         Some(_) => Outcome::Unknown,
     }
 }
--- a/crates/ploverwick_daemon/src/owner/send.rs
+++ b/crates/ploverwick_daemon/src/owner/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to an engine and passes its answer on as frames.
+//! Sends a request to an engine and forwards its response as frames.
 
 use std::time::Duration;
 
@@ -16,44 +16,42 @@
 use ploverwick_wire::{Chunk, Frame, Head, Order, frame};
 use tokio::sync::mpsc;
 
-use crate::commands::ending;
+use crate::commands::end_frame;
 use crate::node::Node;
 
-/// The pause before a cancellation that was not confirmed is tried again.
-const CANCEL_PAUSE: Duration = Duration::from_millis(500);
+/// The delay before an unconfirmed cancellation is retried.
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A request to send.
 pub(super) struct Run {
-    /// The request.
     pub(super) order: Order,
-    /// Where its answer goes.
+    /// The channel for the frames of the response.
     pub(super) frames: mpsc::Sender<Frame>,
     /// The owner's token.
     pub(super) token: Token,
     /// The time left until the deadline.
     pub(super) deadline: Duration,
-    /// The endpoint.
     pub(super) endpoint: Endpoint,
 }
 
-/// How the passing of an answer ended.
-enum Passed {
-    Whole,
-    Broken(String),
-    Unwanted,
+/// How forwarding a response ended.
+enum Forwarded {
+    Complete,
+    Interrupted(String),
+    Disconnected,
 }
 
-/// Whether the engine is certainly done with a request.
+/// Whether the engine may still be running a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum After {
-    /// Nothing of it runs.
-    Over,
-    /// It may still be running, and uses its adapter as long as it does.
+pub(super) enum EngineState {
+    /// It is not running.
+    Finished,
+    /// It may still be running, and uses its adapter until it ends.
     Unsettled,
 }
 
-/// Runs a request and passes on every frame of its answer, the last one included.
-pub(super) async fn run(node: &Node, engine: &Engine, run: Run) -> After {
+/// Runs a request and forwards all frames of its response, including the last one.
+pub(super) async fn run(node: &Node, engine: &Engine, run: Run) -> EngineState {
     let verdict = match tokio::time::timeout(run.deadline, attempt(node, engine, &run)).await {
         Ok(verdict) => verdict,
         Err(_) => {
@@ -65,27 +63,27 @@
         }
     };
     let code = verdict.code();
-    note(node, &run, &format!("attempt ends with {code}"));
-    let end = ending(code, verdict.message(), verdict.hint());
-    // The entry may have left.
+    record_attempt(node, &run, &format!("attempt ends with {code}"));
+    let end = end_frame(code, verdict.message(), verdict.hint());
+    // The receiver may be gone.
     let _ = run.frames.send(end).await;
     match code.class() {
-        Class::NotRun | Class::Ran => After::Over,
-        Class::MayHaveRun => After::Unsettled,
+        Class::NotRun | Class::Ran => EngineState::Finished,
+        Class::MayHaveRun => EngineState::Unsettled,
     }
 }
 
-/// Cancels a run and returns once the engine has confirmed that nothing of it runs.
-pub(super) async fn settle(engine: &Engine, request: &str) {
-    while let Err(fault) = engine.cancel(request).await {
-        if matches!(fault, CallError::Refused { .. }) {
+/// Cancels a run, retrying until the engine has confirmed that it is not running.
+pub(super) async fn cancel_until_confirmed(engine: &Engine, request: &str) {
+    while let Err(error) = engine.cancel(request).await {
+        if matches!(error, CallError::Refused { .. }) {
             return;
         }
-        tokio::time::sleep(CANCEL_PAUSE).await;
+        tokio::time::sleep(CANCEL_RETRY_DELAY).await;
     }
 }
 
-fn note(node: &Node, run: &Run, what: &str) {
+fn record_attempt(node: &Node, run: &Run, what: &str) {
     let event = Event::new(Kind::Attempt, what.to_owned()).endpoint(&run.endpoint);
     let event = match run.order.request.clone().try_into() {
         Ok(request) => event.request(&request),
@@ -99,7 +97,7 @@
     if run.frames.is_closed() && run.order.idempotent {
         return unsent.refuse(Code::Cancelled, "the caller left");
     }
-    note(node, run, &format!("attempt sent, token {}", run.token));
+    record_attempt(node, run, &format!("attempt sent, token {}", run.token));
     let order = &run.order;
     let request = engine::Run {
         path: order.path.clone(),
@@ -111,37 +109,38 @@
         token: run.token,
         stamp: node.recorder.clock().tick().0,
     };
-    let answered = tokio::select! {
-        answered = engine.run(&request) => answered,
-        () = left(run) => {
+    let result = tokio::select! {
+        result = engine.run(&request) => result,
+        () = caller_disconnected(run) => {
             return unsent.send().fail(Code::CancelledWhileRunning, "the caller left");
         }
     };
-    let response = match answered {
+    let response = match result {
         Ok(response) => response,
-        Err(fault @ CallError::Unreachable { .. }) => {
-            return unsent.refuse(Code::EndpointRefused, fault.to_string());
+        Err(error @ CallError::Unreachable { .. }) => {
+            return unsent.refuse(Code::EndpointRefused, error.to_string());
         }
-        Err(fault) => return unsent.send().fail(Code::Interrupted, fault.to_string()),
+        Err(error) => return unsent.send().fail(Code::Interrupted, error.to_string()),
     };
     let sent = unsent.send();
     if !response.status().is_success() {
-        return refused(engine, sent, response).await;
+        return handle_error_status(engine, sent, response).await;
     }
-    let echoed = text(&response, header::MODEL).to_owned();
+    let echoed = header_text(&response, header::MODEL).to_owned();
     if echoed != order.model {
         let message = format!("asked for {}, answered as {echoed:?}", order.model);
         return sent.fail(Code::WrongAdapter, message);
     }
-    match pass(response, echoed, run).await {
-        Passed::Whole => sent.finish(),
-        Passed::Broken(cause) => sent.fail(Code::Interrupted, cause),
-        Passed::Unwanted => sent.fail(Code::CancelledWhileRunning, "the caller left"),
+    match forward(response, echoed, run).await {
+        Forwarded::Complete => sent.finish(),
+        Forwarded::Interrupted(cause) => sent.fail(Code::Interrupted, cause),
+        Forwarded::Disconnected => sent.fail(Code::CancelledWhileRunning, "the caller left"),
     }
 }
 
-/// Returns once the caller of a request that need not run to its end has left.
-async fn left(run: &Run) {
+/// Waits until the caller of an idempotent request has disconnected. Other requests must run to
+/// their end, so for them it never returns.
+async fn caller_disconnected(run: &Run) {
     if run.order.idempotent {
         run.frames.closed().await;
     } else {
@@ -149,17 +148,21 @@
     }
 }
 
-fn text<'a>(response: &'a Response<Incoming>, name: &str) -> &'a str {
+fn header_text<'a>(response: &'a Response<Incoming>, name: &str) -> &'a str {
     let value = response.headers().get(name);
     value
         .and_then(|value| value.to_str().ok())
         .unwrap_or_default()
 }
 
-/// Tells an engine's refusal, which says that nothing ran, from a failed run.
-async fn refused(engine: &Engine, sent: Attempt<Sent>, response: Response<Incoming>) -> Verdict {
-    const HINT: Duration = Duration::from_millis(500);
-    let not_run = text(&response, header::NOT_RUN) == "true";
+/// Distinguishes a refusal by the engine, which confirms that nothing ran, from a failed run.
+async fn handle_error_status(
+    engine: &Engine,
+    sent: Attempt<Sent>,
+    response: Response<Incoming>,
+) -> Verdict {
+    const RETRY_AFTER: Duration = Duration::from_millis(500);
+    let not_run = header_text(&response, header::NOT_RUN) == "true";
     let status = response.status();
     let body = read_body(engine.address(), response.into_body()).await;
     let shown: String = String::from_utf8_lossy(&body.unwrap_or_default())
@@ -170,52 +173,52 @@
     if !not_run {
         return sent.fail(Code::EndpointFailed, message);
     }
-    let refusal = Refusal::decode(Code::EndpointRefused, message, Some(HINT));
+    let refusal = Refusal::decode(Code::EndpointRefused, message, Some(RETRY_AFTER));
     sent.refused(refusal.expect("the code is of class not run"))
 }
 
-async fn pass(response: Response<Incoming>, model: String, run: &Run) -> Passed {
-    let incarnation = text(&response, header::INCARNATION)
+async fn forward(response: Response<Incoming>, model: String, run: &Run) -> Forwarded {
+    let incarnation = header_text(&response, header::INCARNATION)
         .parse()
         .unwrap_or_default();
     let head = Head {
         status: u32::from(response.status().as_u16()),
-        content_type: text(&response, "content-type").to_owned(),
+        content_type: header_text(&response, "content-type").to_owned(),
         model,
         incarnation,
     };
     if !push(run, frame::Part::Head(head)).await {
-        return Passed::Unwanted;
+        return Forwarded::Disconnected;
     }
     let mut body = response.into_body();
     let mut splitter = run.order.stream.then(sse::Splitter::default);
     loop {
         let next = tokio::select! {
             next = body.frame() => next,
-            () = left(run) => return Passed::Unwanted,
+            () = caller_disconnected(run) => return Forwarded::Disconnected,
         };
         let bytes = match next {
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
-            Some(Err(error)) => return Passed::Broken(error.to_string()),
+            Some(Err(error)) => return Forwarded::Interrupted(error.to_string()),
             None => break,
         };
         let part = match &mut splitter {
             Some(splitter) => match splitter.push(&bytes) {
                 Ok(Some(events)) => chunk(events.bytes, events.last_id),
                 Ok(None) => continue,
-                Err(error) => return Passed::Broken(error.to_string()),
+                Err(error) => return Forwarded::Interrupted(error.to_string()),
             },
             None => chunk(bytes, 0),
         };
         if !push(run, part).await {
-            return Passed::Unwanted;
+            return Forwarded::Disconnected;
         }
     }
     match splitter {
         Some(splitter) if splitter.pending() > 0 => {
-            Passed::Broken("the stream ended inside an event".to_owned())
+            Forwarded::Interrupted("the stream ended inside an event".to_owned())
         }
-        _ => Passed::Whole,
+        _ => Forwarded::Complete,
     }
 }
 
@@ -223,8 +226,8 @@
     frame::Part::Chunk(Chunk { data, last_event })
 }
 
-/// Passes a part on; returns whether the run goes on. A non-idempotent run goes on without
-/// anybody to read it, since it must not be started again.
+/// Forwards a part; returns whether to continue the run. A non-idempotent run continues without a
+/// reader, because it must not be started again.
 async fn push(run: &Run, part: frame::Part) -> bool {
     let sent = run.frames.send(Frame { part: Some(part) }).await;
     sent.is_ok() || !run.order.idempotent
--- a/crates/ploverwick_daemon/src/owner/task.rs
+++ b/crates/ploverwick_daemon/src/owner/task.rs
@@ -1,6 +1,6 @@
-//! The task of one endpoint: carries out what its machine decides.
+//! The task of one endpoint: feeds events to its scheduler and performs the resulting actions.
 
-mod acts;
+mod actions;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,33 +19,33 @@
 use tokio::time::MissedTickBehavior;
 
 use super::{orders, send};
-use crate::commands::{Command, ending};
+use crate::commands::{Command, end_frame};
 use crate::lock::lock;
 use crate::node::Node;
 use crate::status::OwnedEndpoint;
 
-/// How often deadlines, budgets and permits are looked at without another cause.
-const TICK: Duration = Duration::from_millis(20);
-/// How long reports may fail before the endpoint counts as down.
+/// How often deadlines, budgets and permits are checked in the absence of commands.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long reports may fail before the endpoint is considered down.
 const DOWN_AFTER: Duration = Duration::from_secs(2);
-/// How long a request may wait before a busy adapter is made to yield its slot.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a request waits for a slot before a busy adapter is drained for it.
+const DRAIN_AFTER: Duration = Duration::from_secs(2);
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-const LOAD_PAUSE: Duration = Duration::from_secs(1);
+const LOAD_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How long an attempt that broke off waits to be resumed before it is cancelled.
+/// How long an interrupted attempt can be resumed before it is cancelled.
 const RESUME_GRACE: Duration = Duration::from_secs(1);
 
-/// An attempt that the machine knows. One request can have several, when it is resumed.
+/// An attempt known to the scheduler. A request that is resumed has several.
 struct Pending {
     order: Order,
     frames: mpsc::Sender<Frame>,
     arrived: Moment,
 }
 
-/// Calls to the engine that are under way, of which there is one at a time.
+/// Whether calls to the engine are in flight. There is at most one of each kind.
 #[derive(Debug, Default)]
-struct Calls {
+struct CallsInFlight {
     fence: bool,
     report: bool,
 }
@@ -54,54 +54,54 @@
     node: Arc<Node>,
     entry: EndpointEntry,
     engine: Engine,
-    machine: Scheduler,
+    scheduler: Scheduler,
     pending: HashMap<Request, Pending>,
-    own: mpsc::WeakSender<Command>,
+    own_commands: mpsc::WeakSender<Command>,
     tenure: Tenure,
-    calls: Calls,
+    calls_in_flight: CallsInFlight,
     reported_at: Option<Moment>,
     next_report: Moment,
     leaving: bool,
-    closing: Vec<oneshot::Sender<()>>,
+    close_waiters: Vec<oneshot::Sender<()>>,
     attempts: u64,
 }
 
-/// Runs the task until its channel is closed.
+/// Runs the task until its command channel is closed.
 pub(super) async fn run(
     node: Arc<Node>,
     entry: EndpointEntry,
-    own: mpsc::WeakSender<Command>,
+    own_commands: mpsc::WeakSender<Command>,
     mut commands: mpsc::Receiver<Command>,
 ) {
-    let mut task = Task::new(node, entry, own);
-    let mut ticks = tokio::time::interval(TICK);
+    let mut task = Task::new(node, entry, own_commands);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(command) => task.take(command),
+                Some(command) => task.handle(command),
                 None => return,
             },
             _ = ticks.tick() => task.tick(),
         }
-        // What is already waiting is decided on together.
+        // Commands that are already queued are handled before the next scheduling step.
         while let Ok(command) = commands.try_recv() {
-            task.take(command);
+            task.handle(command);
         }
         task.step();
     }
 }
 
 impl Task {
-    fn new(node: Arc<Node>, entry: EndpointEntry, own: mpsc::WeakSender<Command>) -> Self {
+    fn new(node: Arc<Node>, entry: EndpointEntry, own_commands: mpsc::WeakSender<Command>) -> Self {
         let settings = &node.settings;
         let config = Config {
             queue_capacity: settings.limits.queue_per_endpoint,
             report_lag: settings.ownership.report_lag(),
             order_lag: settings.ownership.order_lag(),
-            drain_after: PATIENCE,
+            drain_after: DRAIN_AFTER,
             retry_after: RETRY_AFTER,
-            load_backoff: LOAD_PAUSE,
+            load_backoff: LOAD_BACKOFF,
         };
         let timeout = settings.platform.timeout();
         let engine = Engine::new(node.client.clone(), entry.address, timeout);
@@ -111,26 +111,26 @@
             node,
             entry,
             engine,
-            machine: Scheduler::new(config),
+            scheduler: Scheduler::new(config),
             pending: HashMap::new(),
-            own,
+            own_commands,
             tenure: Tenure::new(checks_tokens),
-            calls: Calls::default(),
+            calls_in_flight: CallsInFlight::default(),
             reported_at: None,
             next_report: now,
             leaving: false,
-            closing: Vec::new(),
+            close_waiters: Vec::new(),
             attempts: 0,
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         let now = self.node.now();
         match command {
             Command::Submit(order, frames) => self.submit(*order, frames, now),
             Command::Finished(request) => {
                 self.pending.remove(&request);
-                self.machine.finished(&request, now);
+                self.scheduler.finished(&request, now);
             }
             Command::Unsettled(attempt) => {
                 self.spawn(|_, _| async move {
@@ -141,44 +141,45 @@
             Command::Settle(attempt) => self.settle_attempt(attempt),
             Command::Reported(report, leaving) => self.reported(report.as_ref(), leaving, now),
             Command::Fenced(shown) => {
-                self.calls.fence = false;
+                self.calls_in_flight.fence = false;
                 if let Some((token, incarnation)) = shown {
                     self.tenure.shown(token, incarnation);
                 }
             }
             Command::Loaded(variant, outcome) => {
-                lock(&self.node.loads).end();
-                self.note_load(&format!("load {outcome:?}"), &variant);
-                self.machine.loaded(&variant, outcome, now);
+                lock(&self.node.load_budget).end();
+                self.record_load_event(&format!("load {outcome:?}"), &variant);
+                self.scheduler.loaded(&variant, outcome, now);
             }
             Command::Unloaded(variant, outcome) => {
-                self.note_load(&format!("unload {outcome:?}"), &variant);
-                self.machine.unloaded(&variant, outcome, now);
-                // An unknown outcome stays announced until this life has quit.
+                self.record_load_event(&format!("unload {outcome:?}"), &variant);
+                self.scheduler.unloaded(&variant, outcome, now);
+                // After an unknown outcome the announcement stands until this process has quit the
+                // endpoint.
                 if self.entry.fencing == Fencing::Ignored && outcome != Outcome::Unknown {
-                    self.settle(variant);
+                    self.log_outcome(variant);
                 }
             }
             Command::Announced(variant, valid) => {
                 let rights = self.rights(now);
-                let action = self.machine.announced(&variant, valid, &rights, now);
-                self.act_all(action);
+                let action = self.scheduler.announced(&variant, valid, &rights, now);
+                self.perform_all(action);
             }
             Command::Gained => {
                 self.tenure.gained();
-                self.machine.open();
+                self.scheduler.open();
             }
             Command::Lost => self.close(),
             Command::Close(closed) => {
                 self.close();
-                self.closing.push(closed);
+                self.close_waiters.push(closed);
             }
         }
     }
 
     fn close(&mut self) {
         self.tenure.closed();
-        self.machine.close();
+        self.scheduler.close();
     }
 
     fn is_owner(&self) -> bool {
@@ -187,8 +188,8 @@
 
     fn submit(&mut self, order: Order, frames: mpsc::Sender<Frame>, now: Moment) {
         let refuse = |code, message: &str| {
-            // The channel is new and has room.
-            let _ = frames.try_send(ending(code, message, Some(RETRY_AFTER)));
+            // The channel is new, so it cannot be full.
+            let _ = frames.try_send(end_frame(code, message, Some(RETRY_AFTER)));
         };
         if !understands(order.protocol) {
             let message = format!("protocol {} is not understood", order.protocol);
@@ -198,13 +199,13 @@
         let Some(job) = job(&order, self.attempts, now) else {
             return refuse(Code::ModelMalformed, "the order names no request or model");
         };
-        if !order.idempotent && self.knows(&order.request) {
+        if !order.idempotent && self.has_attempt(&order.request) {
             return refuse(Code::OutcomeUnknown, "the request was started here before");
         }
         if !self.is_owner() {
             return refuse(Code::NotOwner, "this instance does not own the endpoint");
         }
-        if let Some(why) = self.unable(now) {
+        if let Some(why) = self.unavailable_reason(now) {
             return refuse(Code::NoEndpoint, why);
         }
         let attempt = job.request.clone();
@@ -214,33 +215,33 @@
             arrived: now,
         };
         self.pending.insert(attempt, pending);
-        let refused = self.machine.submit(job);
-        self.act_all(refused);
+        let refused = self.scheduler.submit(job);
+        self.perform_all(refused);
     }
 
-    /// Says whether an attempt of the request is waiting, running or unsettled.
-    fn knows(&self, request: &str) -> bool {
+    /// Returns whether an attempt of the request is waiting, running or unsettled.
+    fn has_attempt(&self, request: &str) -> bool {
         let mut known = self.pending.values();
         known.any(|pending| pending.order.request == request)
     }
 
-    /// Cancels an unsettled attempt, unless another attempt has resumed its run.
+    /// Cancels an unsettled attempt unless another attempt has resumed its run.
     fn settle_attempt(&mut self, attempt: Request) {
         let Some(pending) = self.pending.remove(&attempt) else {
             return;
         };
         let request = pending.order.request;
-        if self.knows(&request) {
-            return self.take(Command::Finished(attempt));
+        if self.has_attempt(&request) {
+            return self.handle(Command::Finished(attempt));
         }
         self.spawn(|engine, _| async move {
-            send::settle(&engine, &request).await;
+            send::cancel_until_confirmed(&engine, &request).await;
             Command::Finished(attempt)
         });
     }
 
-    /// Says why the endpoint takes no requests, if it takes none.
-    fn unable(&self, now: Moment) -> Option<&'static str> {
+    /// Returns why the endpoint accepts no requests, or `None` if it accepts them.
+    fn unavailable_reason(&self, now: Moment) -> Option<&'static str> {
         if self.leaving || self.listed_leaving() {
             return Some("the endpoint is leaving");
         }
@@ -258,39 +259,39 @@
 
     fn tick(&mut self) {
         let now = self.node.now();
-        self.drop_unwanted();
-        if self.unable(now).is_some() {
-            let refusals = self.machine.refuse_waiting(Code::NoEndpoint);
-            self.act_all(refusals);
+        self.remove_disconnected();
+        if self.unavailable_reason(now).is_some() {
+            let refusals = self.scheduler.refuse_waiting(Code::NoEndpoint);
+            self.perform_all(refusals);
         }
-        self.ask_report(now);
+        self.request_report(now);
         self.fence(now);
-        self.answer_closing();
-        self.quit();
+        self.notify_closed();
+        self.log_quit();
         self.publish();
     }
 
-    /// Takes out waiting requests whose callers have left.
-    fn drop_unwanted(&mut self) {
-        let machine = &mut self.machine;
+    /// Removes queued requests whose callers have disconnected.
+    fn remove_disconnected(&mut self) {
+        let scheduler = &mut self.scheduler;
         self.pending.retain(|request, pending| {
-            let left = pending.frames.is_closed();
-            !(left && machine.cancel(request))
+            let disconnected = pending.frames.is_closed();
+            !(disconnected && scheduler.cancel(request))
         });
     }
 
-    fn ask_report(&mut self, now: Moment) {
+    fn request_report(&mut self, now: Moment) {
         let settled = self.tenure.role() == Role::Settled;
-        if self.calls.report || settled || now < self.next_report {
+        if self.calls_in_flight.report || settled || now < self.next_report {
             return;
         }
-        self.calls.report = true;
+        self.calls_in_flight.report = true;
         self.next_report = now + self.node.settings.ownership.report();
         self.spawn(|engine, _| async move { orders::report(&engine).await });
     }
 
     fn reported(&mut self, report: Option<&Report>, leaving: bool, now: Moment) {
-        self.calls.report = false;
+        self.calls_in_flight.report = false;
         let Some(report) = report else {
             self.reported_at = self.reported_at.or(Some(now));
             return;
@@ -303,28 +304,29 @@
         self.leaving = leaving;
         self.tenure.set_engine_incarnation(report.incarnation);
         let settled = self.rights(now).unload;
-        self.machine.report(report, settled, now);
+        self.scheduler.report(report, settled, now);
     }
 
-    /// Shows a new token to an engine that checks tokens, before anything is sent under it.
+    /// Shows a new token to an engine that checks tokens. Nothing is sent before the engine has
+    /// accepted a token.
     fn fence(&mut self, now: Moment) {
-        if self.calls.fence {
+        if self.calls_in_flight.fence {
             return;
         }
-        let permit = lock(&self.node.holds).permit(&self.entry.name, now);
+        let permit = lock(&self.node.ownership).permit(&self.entry.name, now);
         let Some(token) = self.tenure.token_to_show(permit.as_ref()) else {
             return;
         };
-        self.calls.fence = true;
+        self.calls_in_flight.fence = true;
         self.spawn(move |engine, _| async move {
             let shown = engine.fence(token).await;
-            // After a failure the next tick tries again.
+            // A failed call is retried at the next tick.
             Command::Fenced(shown.ok().map(|followed| (token, followed.incarnation)))
         });
     }
 
     fn rights(&self, now: Moment) -> Rights {
-        let permit = lock(&self.node.holds).permit(&self.entry.name, now);
+        let permit = lock(&self.node.ownership).permit(&self.entry.name, now);
         let loads = orders::loads_available(&self.node, now);
         self.tenure.rights(permit, loads)
     }
@@ -332,30 +334,30 @@
     fn step(&mut self) {
         let now = self.node.now();
         let rights = self.rights(now);
-        let actions = self.machine.step(&rights, now);
-        self.act_all(actions);
+        let actions = self.scheduler.step(&rights, now);
+        self.perform_all(actions);
     }
 
     fn publish(&self) {
-        let slots = self.machine.slots();
+        let slots = self.scheduler.slots();
         let status = OwnedEndpoint {
             endpoint: self.entry.name.clone(),
             owned: self.is_owner(),
             settled: self.tenure.role() == Role::Settled,
-            token: lock(&self.node.holds)
+            token: lock(&self.node.ownership)
                 .token(&self.entry.name)
                 .unwrap_or_default(),
-            waiting: self.machine.waiting(),
-            running: self.machine.running(),
-            batch: self.machine.batch(),
+            waiting: self.scheduler.waiting(),
+            running: self.scheduler.running(),
+            batch: self.scheduler.batch(),
             slots: slots.map(crate::status::Slot::from).collect(),
         };
         lock(&self.node.endpoint_status).insert(self.entry.name.clone(), status);
     }
 }
 
-/// Makes the machine's job of an order. Attempts are numbered, so that a resumed request is not
-/// mistaken for its earlier attempt.
+/// Creates the scheduler's job for an order. The attempt number distinguishes a resumed request from
+/// its earlier attempt.
 fn job(order: &Order, attempt: u64, now: Moment) -> Option<Job> {
     let model: Model = order.model.parse().ok()?;
     Some(Job {
--- a/crates/ploverwick_daemon/src/owner/task/acts.rs
+++ b/crates/ploverwick_daemon/src/owner/task/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the machine of an endpoint decided.
+//! Performs the actions of an endpoint's scheduler.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 
 use super::super::{orders, send};
 use super::{Pending, Task};
-use crate::commands::{Command, ending};
+use crate::commands::{Command, end_frame};
 use crate::lock::lock;
 use crate::node::Node;
 use crate::ownership;
 
 impl Task {
-    pub(super) fn act_all(&mut self, actions: impl IntoIterator<Item = Action>) {
+    pub(super) fn perform_all(&mut self, actions: impl IntoIterator<Item = Action>) {
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send(request) => self.send(&request),
             Action::Refuse(request, code, hint) => {
                 if let Some(pending) = self.pending.remove(&request) {
                     let message = format!("{} at {}", code.summary(), self.entry.name);
-                    let _ = pending.frames.try_send(ending(code, &message, hint));
+                    let _ = pending.frames.try_send(end_frame(code, &message, hint));
                 }
             }
             Action::Load(variant) => self.load(variant),
             Action::Announce(variant) => self.announce(variant),
             Action::Unload(variant) => self.unload(variant),
-            Action::LogOutcome(variant) => self.settle(variant),
+            Action::LogOutcome(variant) => self.log_outcome(variant),
         }
     }
 
@@ -45,7 +45,7 @@
         };
         let waited = self.node.now().since(pending.arrived);
         metrics::histogram!("ploverwick_queue_seconds").record(waited.as_secs_f64());
-        let token = lock(&self.node.holds).token(&self.entry.name);
+        let token = lock(&self.node.ownership).token(&self.entry.name);
         let run = send::Run {
             order: pending.order.clone(),
             frames: pending.frames.clone(),
@@ -56,8 +56,8 @@
         let request = request.clone();
         self.spawn(|engine, node| async move {
             match send::run(&node, &engine, run).await {
-                send::After::Over => Command::Finished(request),
-                send::After::Unsettled => Command::Unsettled(request),
+                send::EngineState::Finished => Command::Finished(request),
+                send::EngineState::Unsettled => Command::Unsettled(request),
             }
         });
     }
@@ -68,10 +68,10 @@
     }
 
     fn load(&mut self, variant: Variant) {
-        lock(&self.node.loads).start();
-        self.note_load("load ordered", &variant);
+        lock(&self.node.load_budget).start();
+        self.record_load_event("load ordered", &variant);
         let Some(order) = self.order(&variant) else {
-            return self.take(Command::Loaded(variant, Outcome::Refused));
+            return self.handle(Command::Loaded(variant, Outcome::Refused));
         };
         self.spawn(|engine, _| async move {
             let outcome = orders::load(&engine, &order).await;
@@ -81,13 +81,14 @@
 
     fn unload(&mut self, variant: Variant) {
         let Some(order) = self.order(&variant) else {
-            return self.take(Command::Unloaded(variant, Outcome::Refused));
+            return self.handle(Command::Unloaded(variant, Outcome::Refused));
         };
-        self.note_load("unload ordered", &variant);
+        self.record_load_event("unload ordered", &variant);
         let endpoint = self.entry.name.clone();
         self.spawn(|engine, node| async move {
-            // The last look before the order goes out: the task may have been paused since.
-            let permit = lock(&node.holds).permit(&endpoint, node.now());
+            // The permit is checked again right before the order is sent, because this task may have
+            // been paused in the meantime.
+            let permit = lock(&node.ownership).permit(&endpoint, node.now());
             if !permit.is_some_and(|permit| permit.settled) {
                 return Command::Unloaded(variant, Outcome::Refused);
             }
@@ -97,7 +98,7 @@
     }
 
     fn order(&self, variant: &Variant) -> Option<EngineOrder> {
-        let token = lock(&self.node.holds).token(&self.entry.name)?;
+        let token = lock(&self.node.ownership).token(&self.entry.name)?;
         Some(EngineOrder {
             variant: Some(variant.clone()),
             token,
@@ -107,83 +108,89 @@
     fn announce(&mut self, variant: Variant) {
         let endpoint = self.entry.name.clone();
         let life = self.node.life.clone();
-        let token = lock(&self.node.holds).token(&endpoint).unwrap_or_default();
+        let token = lock(&self.node.ownership)
+            .token(&endpoint)
+            .unwrap_or_default();
         let record = Record::Intent {
             endpoint,
             life,
             token,
             variant: variant.clone(),
         };
-        self.spawn_quiet(|node| async move {
+        self.spawn_detached(|node| async move {
             let appended = ownership::append(&node, vec![record.clone()]).await;
-            if appended.is_err_and(|fault| fault.had_no_effect()) {
-                // The stream will not show it, so the machine has to be told.
+            if appended.is_err_and(|error| error.had_no_effect()) {
+                // The record will never appear in the stream, so the scheduler is notified here.
                 let endpoint = record.endpoint().clone();
                 let command = Command::Announced(variant, false);
-                node.owners.tell(&endpoint, command).await;
+                node.endpoint_tasks.send(&endpoint, command).await;
             }
         });
     }
 
-    pub(super) fn settle(&mut self, variant: Variant) {
+    pub(super) fn log_outcome(&mut self, variant: Variant) {
         let record = Record::Outcome {
             endpoint: self.entry.name.clone(),
             life: self.node.life.clone(),
             variant,
         };
-        self.spawn_quiet(|node| async move {
-            // Without this record a successor waits until this life has quit or ended.
+        self.spawn_detached(|node| async move {
+            // Errors are ignored: without this record a successor waits until this process has quit
+            // the endpoint or ended.
             let _ = ownership::append(&node, vec![record]).await;
         });
     }
 
-    /// Says that the endpoint may be released, once no unload can strike any more.
-    pub(super) fn answer_closing(&mut self) {
-        if !self.closing.is_empty() && !self.machine.has_pending_unloads() {
-            for closed in self.closing.drain(..) {
+    /// Signals that the endpoint may be released, once no unload can take effect any more.
+    pub(super) fn notify_closed(&mut self) {
+        if !self.close_waiters.is_empty() && !self.scheduler.has_pending_unloads() {
+            for closed in self.close_waiters.drain(..) {
                 let _ = closed.send(());
             }
         }
     }
 
-    /// Tells successors, once nothing of this life runs on the endpoint or is on its way to it.
-    pub(super) fn quit(&mut self) {
-        let owner = lock(&self.node.holds).owner(&self.entry.name).cloned();
+    /// Appends [`Record::Quit`] for successors, once no request or order of this process is running on
+    /// the endpoint or in flight.
+    pub(super) fn log_quit(&mut self) {
+        let owner = lock(&self.node.ownership).owner(&self.entry.name).cloned();
         let released = owner.is_none_or(|owner| owner != self.node.life);
-        if !self.tenure.try_settle(self.machine.is_idle(), released) {
+        if !self.tenure.try_settle(self.scheduler.is_idle(), released) {
             return;
         }
         let record = Record::Quit {
             endpoint: self.entry.name.clone(),
             life: self.node.life.clone(),
         };
-        self.spawn_quiet(|node| async move { ownership::append_surely(&node, record).await });
+        self.spawn_detached(
+            |node| async move { ownership::append_with_retry(&node, record).await },
+        );
     }
 
-    pub(super) fn note_load(&self, what: &str, variant: &Variant) {
+    pub(super) fn record_load_event(&self, what: &str, variant: &Variant) {
         let event = Event::new(Kind::Load, format!("{what} ({variant})"));
         let event = event.adapter(&variant.adapter).endpoint(&self.entry.name);
         self.node.record(event);
     }
 
-    /// Runs `work` beside the task and takes its result as a command.
+    /// Runs `work` concurrently and sends its result to this task as a command.
     pub(super) fn spawn<F, W>(&self, work: W)
     where
         W: FnOnce(Engine, Arc<Node>) -> F,
         F: Future<Output = Command> + Send + 'static,
     {
-        // Without a sender the task is ending, and nothing may be started for it.
-        let Some(own) = self.own.upgrade() else {
+        // If all senders are gone, this task is ending and must start no more work.
+        let Some(own_commands) = self.own_commands.upgrade() else {
             return;
         };
         let work = work(self.engine.clone(), Arc::clone(&self.node));
         tokio::spawn(async move {
             let command = work.await;
-            let _ = own.send(command).await;
+            let _ = own_commands.send(command).await;
         });
     }
 
-    fn spawn_quiet<F, W>(&self, work: W)
+    fn spawn_detached<F, W>(&self, work: W)
     where
         W: FnOnce(Arc<Node>) -> F,
         F: Future<Output = ()> + Send + 'static,
--- a/crates/ploverwick_daemon/src/ownership.rs
+++ b/crates/ploverwick_daemon/src/ownership.rs
@@ -1,4 +1,4 @@
-//! The stream of claims on endpoints, and records that are appended to it.
+//! Appends records to the log's stream of endpoint ownership.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 use crate::node::Node;
 
-/// The name of the stream.
+/// The name of the stream in the log.
 pub(crate) const STREAM: &str = "owners";
-/// The pause after a failed append.
-const PAUSE: Duration = Duration::from_millis(200);
+/// The delay after a failed append.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Appends records to the stream.
 ///
 /// # Errors
-/// Fails as the log does.
+/// Returns the error of the log.
 pub(crate) async fn append(node: &Node, records: Vec<Record>) -> Result<Offset, CallError> {
     let texts = records
         .iter()
@@ -24,9 +24,9 @@
     node.log.append(STREAM, texts.collect()).await
 }
 
-/// Appends a record, again and again until the log confirms it. Twice does no harm.
-pub(crate) async fn append_surely(node: &Node, record: Record) {
+/// Appends a record and retries until the log confirms it. A duplicate record has no effect.
+pub(crate) async fn append_with_retry(node: &Node, record: Record) {
     while append(node, vec![record.clone()]).await.is_err() {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/ploverwick_daemon/src/peer.rs
+++ b/crates/ploverwick_daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! Answers calls from other daemons.
+//! The gRPC service for other daemons.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -17,22 +17,21 @@
 use tokio::sync::mpsc;
 use tonic::{Request, Response, Status};
 
-use crate::answer::{PARTS_AHEAD, Part};
-use crate::chain::Keyed;
-use crate::commands::ending;
+use crate::chain::IdempotencyKey;
+use crate::commands::end_frame;
 use crate::controllers::{claims, members, table};
-use crate::joining;
+use crate::idempotency;
 use crate::node::Node;
+use crate::response::{PART_CHANNEL_CAPACITY, Part};
 
-/// The peers' side of a daemon.
+/// Handles calls from other daemons.
 pub(crate) struct Service {
     pub(crate) node: Arc<Node>,
 }
 
 type Frames = Pin<Box<dyn Stream<Item = Result<Frame, Status>> + Send>>;
 
-/// Makes a response of frames, over after the frame that ends the answer, whoever still holds the
-/// sender.
+/// Creates a response stream that ends after the end frame, even if a sender is still open.
 fn frames(receiver: mpsc::Receiver<Frame>) -> Response<Frames> {
     let stream = unfold(Some(receiver), |receiver| async move {
         let mut receiver = receiver?;
@@ -51,37 +50,37 @@
     async fn run(&self, request: Request<Order>) -> Result<Response<Frames>, Status> {
         let order = request.into_inner();
         self.node.recorder.clock().observe(Stamp(order.stamp));
-        Ok(frames(self.node.owners.submit(order).await))
+        Ok(frames(self.node.endpoint_tasks.submit(order).await))
     }
 
     async fn claim(&self, request: Request<ClaimAsk>) -> Result<Response<ClaimAnswer>, Status> {
-        let ask = request.into_inner();
-        if ask.partition >= self.node.settings.claims.partitions {
+        let message = request.into_inner();
+        if message.partition >= self.node.settings.claims.partitions {
             return Err(Status::invalid_argument("no such partition"));
         }
-        let outcome = claims::decide(&self.node, &ask).await;
+        let outcome = claims::decide(&self.node, &message).await;
         Ok(Response::new(claims::to_wire(outcome)))
     }
 
     async fn join(&self, request: Request<JoinAsk>) -> Result<Response<Frames>, Status> {
-        let ask = request.into_inner();
-        let key = Key::from_bytes(&ask.key)
+        let message = request.into_inner();
+        let key = Key::from_bytes(&message.key)
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
-        let holder = RequestName::new(&ask.request)
+        let holder = RequestName::new(&message.request)
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
-        let (sender, receiver) = mpsc::channel(PARTS_AHEAD);
+        let (sender, receiver) = mpsc::channel(PART_CHANNEL_CAPACITY);
         tokio::spawn(join(
             Arc::clone(&self.node),
             key,
             holder,
-            ask.resume_after,
+            message.resume_after,
             sender,
         ));
         Ok(frames(receiver))
     }
 
     async fn beat(&self, request: Request<Probe>) -> Result<Response<Ack>, Status> {
-        let answered = members::answer(&self.node, request.into_inner()).await;
+        let answered = members::answer_probe(&self.node, request.into_inner()).await;
         let unknown = || Status::failed_precondition("the probe's protocol is not understood");
         answered.map(Response::new).ok_or_else(unknown)
     }
@@ -92,7 +91,7 @@
     }
 }
 
-/// Copies the answer of a keyed request to a peer.
+/// Copies the cached response for an idempotency key to a peer.
 async fn join(
     node: Arc<Node>,
     key: Key,
@@ -101,15 +100,15 @@
     sender: mpsc::Sender<Frame>,
 ) {
     let answer = node
-        .answers
+        .responses
         .get(&key)
         .filter(|answer| answer.request == request);
     let Some(answer) = answer else {
-        let (code, message) = not_held(&node, key, request);
-        let _ = sender.send(ending(code, &message, None)).await;
+        let (code, message) = missing_response(&node, key, request);
+        let _ = sender.send(end_frame(code, &message, None)).await;
         return;
     };
-    let (parts, mut receiver) = mpsc::channel(PARTS_AHEAD);
+    let (parts, mut receiver) = mpsc::channel(PART_CHANNEL_CAPACITY);
     let reading = tokio::spawn(async move { answer.read(after, parts).await });
     while let Some(part) = receiver.recv().await {
         if sender.send(to_frame(part)).await.is_err() {
@@ -119,7 +118,7 @@
     reading.abort();
 }
 
-fn not_held(node: &Arc<Node>, key: Key, request: RequestName) -> (Code, String) {
+fn missing_response(node: &Arc<Node>, key: Key, request: RequestName) -> (Code, String) {
     if !request.as_str().starts_with(&node.request_prefix()) {
         let message = "the request belongs to an earlier life of this instance";
         return (Code::OutcomeUnknown, message.to_owned());
@@ -128,9 +127,9 @@
         request,
         life: node.life.clone(),
     };
-    // The time matters for claims, not for giving one back.
-    let keyed = Keyed { key, made_ms: 0 };
-    let verdict = joining::gone_here(node, &holder, keyed);
+    // The creation time matters only for claims, not for forfeiting them.
+    let idempotency_key = IdempotencyKey { key, made_ms: 0 };
+    let verdict = idempotency::missing_response(node, &holder, idempotency_key);
     (verdict.code(), verdict.message().to_owned())
 }
 
@@ -144,7 +143,7 @@
         }),
         Part::Data(data, last_event) => frame::Part::Chunk(Chunk { data, last_event }),
         Part::End(verdict) => {
-            return ending(verdict.code(), verdict.message(), verdict.hint());
+            return end_frame(verdict.code(), verdict.message(), verdict.hint());
         }
     };
     Frame { part: Some(part) }
--- a/crates/ploverwick_daemon/src/links.rs
+++ b/crates/ploverwick_daemon/src/peer_connections.rs
@@ -11,21 +11,22 @@
 use crate::lock::lock;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The interval of keep-alive pings, and the timeout for their acknowledgement.
 const KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// The largest message between daemons: a whole table.
-const MAX_MESSAGE: usize = 64 << 20;
+/// The maximum size of a message between daemons. The largest one is a whole table.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
-/// Connections by address, made when first needed.
+/// Connections by address, opened on first use.
 #[derive(Debug, Default)]
-pub(crate) struct Links {
+pub(crate) struct PeerConnections {
     open: Mutex<HashMap<SocketAddr, Channel>>,
 }
 
-impl Links {
-    /// Returns a client of the daemon at `address`, connected.
+impl PeerConnections {
+    /// Returns a connected client of the daemon at `address`.
     ///
     /// # Errors
-    /// Fails if there is no connection and none can be made; nothing was sent then.
+    /// Returns an error if no connection can be opened. Nothing was sent then.
     pub(crate) async fn get(
         &self,
         address: SocketAddr,
@@ -36,8 +37,8 @@
             None => self.connect(address).await?,
         };
         Ok(PeerClient::new(channel)
-            .max_decoding_message_size(MAX_MESSAGE)
-            .max_encoding_message_size(MAX_MESSAGE))
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES))
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Channel, tonic::transport::Error> {
@@ -53,8 +54,8 @@
         Ok(channel)
     }
 
-    /// Drops a connection on which a call failed, so that the next call makes a new one.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    /// Removes a connection on which a call failed, so that the next call opens a new one.
+    pub(crate) fn remove(&self, address: SocketAddr) {
         lock(&self.open).remove(&address);
     }
 }
--- a/crates/ploverwick_daemon/src/relay.rs
+++ b/crates/ploverwick_daemon/src/relay.rs
@@ -1,8 +1,8 @@
-//! Relays a request to the owner of an endpoint, and its answer back.
+//! Relays a request to the owner of an endpoint, and the response back to the caller.
 //!
-//! A request that certainly did not run is tried at the next endpoint. One that may have run is
-//! tried again only if it is idempotent and the retry budget allows: anywhere while the caller has
-//! nothing of the answer, and else only where the same run can be resumed.
+//! A request that certainly did not run is retried on the next endpoint. One that may have run is
+//! retried only if it is idempotent and the retry budget permits: on any endpoint while the caller
+//! has received no part of the response, and otherwise only by resuming the same run.
 
 pub(crate) mod frames;
 
@@ -15,21 +15,21 @@
 use ploverwick_timeline::{Event, Kind};
 use ploverwick_wire::{End, Head as WireHead, Order, PROTOCOL, frame};
 
-use crate::answer::{Head, Part, Sink};
 use crate::chain::{Exchange, refuse, remaining};
 use crate::lock::lock;
 use crate::node::Node;
+use crate::response::{Head, Part, Sink};
 use crate::route::{Target, target, targets};
 use frames::Frames;
 
-/// The hint when no endpoint can take a request.
-const NO_ENDPOINT_HINT: Duration = Duration::from_millis(500);
-/// The pause before an interrupted run is resumed, for a new owner to be found.
-const RESUME_PAUSE: Duration = Duration::from_millis(200);
-/// How often an interrupted run is resumed.
-const RESUMES: u32 = 8;
+/// The retry hint when no endpoint can accept a request.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// The delay before an interrupted run is resumed, so that a new owner can take over.
+const RESUME_DELAY: Duration = Duration::from_millis(200);
+/// The maximum number of attempts to resume an interrupted run.
+const MAX_RESUMES: u32 = 8;
 
-/// What the caller has of the answer.
+/// The part of the response that the caller has received.
 #[derive(Debug, Default)]
 struct Progress {
     head: bool,
@@ -37,17 +37,17 @@
     last_event: u64,
 }
 
-/// How an attempt left the request.
-enum Step {
-    /// The request is over.
-    Over(Verdict),
-    /// The request did not run, or may be run again from the start.
-    Elsewhere(Verdict),
-    /// The caller has a part of the answer; the rest has to come from the same run.
+/// What follows from an attempt.
+enum AttemptOutcome {
+    /// The request has ended.
+    Final(Verdict),
+    /// The request did not run, or may be rerun from the start.
+    RetryElsewhere(Verdict),
+    /// The caller has received a part of the response; the rest must come from the same run.
     Resume(Verdict),
 }
 
-/// Relays a request until it is over. The sink gets the whole answer, its end included.
+/// Relays a request until it ends. The sink receives the whole response, including its end.
 pub(crate) async fn relay(node: Arc<Node>, exchange: Exchange, sink: Sink) -> Verdict {
     let verdict = run(&node, &exchange, &sink).await;
     let event = Event::new(Kind::Request, format!("ends with {}", verdict.code()));
@@ -57,7 +57,7 @@
             .adapter(&exchange.model.adapter),
     );
     log(&exchange, &verdict);
-    // Nobody may be there to hear the end.
+    // The receiver may have disconnected.
     let _ = sink.send(Part::End(verdict.clone())).await;
     verdict
 }
@@ -82,7 +82,7 @@
 
 async fn run(node: &Arc<Node>, exchange: &Exchange, sink: &Sink) -> Verdict {
     let requests = &node.settings.requests;
-    lock(&node.retries).earn(requests.retries_per_100);
+    lock(&node.retry_budget).deposit(requests.retries_per_100);
     let Some(variant) = exchange.variant() else {
         return refuse(Code::VersionMissing, "no version is resolved");
     };
@@ -95,64 +95,66 @@
         Code::NoEndpoint,
         "no endpoint with a known owner serves the model",
     )
-    .retry_after(NO_ENDPOINT_HINT);
-    // What the caller is told: a later try's refusal takes nothing back of an earlier one.
-    let mut told = last.clone();
+    .retry_after(NO_ENDPOINT_RETRY_AFTER);
+    // The verdict for the caller. The refusal of a retry does not override an earlier attempt that
+    // may have run.
+    let mut combined = last.clone();
     let targets = targets(node, &exchange.model, &variant, count);
-    // The first endpoint gets a second chance after a break, for it may be the only one.
+    // After an interruption the first endpoint is tried again, because it may be the only one.
     for (index, target) in targets.iter().chain(targets.first()).enumerate() {
-        let again = index == targets.len();
-        if again && last.code().class() == Class::NotRun {
+        let is_second_try = index == targets.len();
+        if is_second_try && last.code().class() == Class::NotRun {
             break;
         }
         match attempt(node, exchange, target, &mut progress, sink).await {
-            Step::Over(verdict) => return verdict.after(told),
-            Step::Elsewhere(verdict) => {
-                note(node, exchange, target, &verdict);
-                told = verdict.clone().after(told);
+            AttemptOutcome::Final(verdict) => return verdict.after(combined),
+            AttemptOutcome::RetryElsewhere(verdict) => {
+                record_attempt(node, exchange, target, &verdict);
+                combined = verdict.clone().after(combined);
                 last = verdict;
             }
-            Step::Resume(verdict) => {
+            AttemptOutcome::Resume(verdict) => {
                 return resume(node, exchange, target, verdict, &mut progress, sink).await;
             }
         }
-        if !may_go_on(node, exchange, &last) {
+        if !may_retry(node, exchange, &last) {
             break;
         }
     }
-    told
+    combined
 }
 
-/// Records how a try ended that did not end the request; the answer names one of them only.
-fn note(node: &Node, exchange: &Exchange, target: &Target, verdict: &Verdict) {
+/// Records the verdict of an attempt that did not end the request. The response contains the verdict
+/// of only one attempt.
+fn record_attempt(node: &Node, exchange: &Exchange, target: &Target, verdict: &Verdict) {
     let what = format!("try at {} ends with {}", target.owner, verdict.code());
     let event = Event::new(Kind::Attempt, what).request(&exchange.request);
     node.record(event.endpoint(&target.endpoint));
 }
 
-/// Says whether a request may be tried at another endpoint.
-fn may_go_on(node: &Node, exchange: &Exchange, verdict: &Verdict) -> bool {
+/// Returns whether a request may be retried on another endpoint.
+fn may_retry(node: &Node, exchange: &Exchange, verdict: &Verdict) -> bool {
     if verdict.code().class() == Class::NotRun {
         return true;
     }
-    exchange.idempotent && lock(&node.retries).take()
+    exchange.idempotent && lock(&node.retry_budget).take()
 }
 
-/// Resumes a run whose answer broke off, at the same endpoint under whoever owns it.
+/// Resumes an interrupted run on the same endpoint, through its current owner.
 async fn resume(
     node: &Arc<Node>,
     exchange: &Exchange,
     first: &Target,
-    broken: Verdict,
+    interrupted: Verdict,
     progress: &mut Progress,
     sink: &Sink,
 ) -> Verdict {
-    let mut last = broken;
-    for _ in 0..RESUMES {
-        if remaining(node, exchange.deadline).is_zero() || !lock(&node.retries).take() {
+    let mut last = interrupted;
+    for _ in 0..MAX_RESUMES {
+        if remaining(node, exchange.deadline).is_zero() || !lock(&node.retry_budget).take() {
             break;
         }
-        tokio::time::sleep(RESUME_PAUSE).await;
+        tokio::time::sleep(RESUME_DELAY).await;
         let Some(target) = target(node, &first.endpoint) else {
             continue;
         };
@@ -162,11 +164,11 @@
         );
         node.record(event.request(&exchange.request).endpoint(&target.endpoint));
         match attempt(node, exchange, &target, progress, sink).await {
-            Step::Over(verdict) => return verdict,
-            Step::Resume(verdict) => last = verdict,
-            // The owner could not be reached or has just changed.
-            Step::Elsewhere(verdict) if is_passing(verdict.code()) => {}
-            Step::Elsewhere(verdict) => {
+            AttemptOutcome::Final(verdict) => return verdict,
+            AttemptOutcome::Resume(verdict) => last = verdict,
+            // The owner is unreachable or has just changed.
+            AttemptOutcome::RetryElsewhere(verdict) if is_transient(verdict.code()) => {}
+            AttemptOutcome::RetryElsewhere(verdict) => {
                 let message = format!("cannot resume: {}", verdict.message());
                 return Attempt::new().send().fail(Code::Interrupted, message);
             }
@@ -175,16 +177,16 @@
     last
 }
 
-/// Says whether a refusal passes once ownership has settled.
-fn is_passing(code: Code) -> bool {
+/// Returns whether a refusal is temporary while the endpoint's ownership changes.
+fn is_transient(code: Code) -> bool {
     matches!(
         code,
         Code::NotOwner | Code::PeerUnreachable | Code::NoEndpoint
     )
 }
 
-/// Says whether a request that was refused with this code may fit elsewhere.
-fn fits_elsewhere(code: Code) -> bool {
+/// Returns whether a request that was refused with this code may be accepted by another endpoint.
+fn may_run_elsewhere(code: Code) -> bool {
     matches!(
         code,
         Code::Draining
@@ -203,46 +205,46 @@
     target: &Target,
     progress: &mut Progress,
     sink: &Sink,
-) -> Step {
-    let left = remaining(node, exchange.deadline);
+) -> AttemptOutcome {
+    let time_left = remaining(node, exchange.deadline);
     let unsent = Attempt::new();
-    if left.is_zero() {
+    if time_left.is_zero() {
         let verdict = unsent.refuse(Code::DeadlineBeforeRun, "the deadline has passed");
-        return Step::Over(over(progress, verdict));
+        return AttemptOutcome::Final(final_verdict(progress, verdict));
     }
-    let order = order(node, exchange, target, progress.last_event, left);
-    let opened = tokio::time::timeout(left, Frames::open(node, target, order)).await;
+    let order = order(node, exchange, target, progress.last_event, time_left);
+    let opened = tokio::time::timeout(time_left, Frames::open(node, target, order)).await;
     let mut frames = match opened {
         Ok(Ok(frames)) => frames,
         Err(_) => {
-            // The owner may have taken the order before it fell silent.
+            // The owner may have received the order before it stopped responding.
             let message = format!("no word from owner {} before the deadline", target.owner);
-            return Step::Over(unsent.send().fail(Code::DeadlineWhileRunning, message));
+            return AttemptOutcome::Final(unsent.send().fail(Code::DeadlineWhileRunning, message));
         }
         Ok(Err(cause)) => {
             let message = format!("owner {} of {}: {cause}", target.owner, target.endpoint);
-            return Step::Elsewhere(unsent.refuse(Code::PeerUnreachable, message));
+            return AttemptOutcome::RetryElsewhere(unsent.refuse(Code::PeerUnreachable, message));
         }
     };
     let sent = unsent.send();
-    let left = remaining(node, exchange.deadline);
-    let received = tokio::time::timeout(left, receive(exchange, &mut frames, progress, sink));
+    let time_left = remaining(node, exchange.deadline);
+    let received = tokio::time::timeout(time_left, receive(exchange, &mut frames, progress, sink));
     match received.await {
-        Ok(Received::End(end)) => decide(exchange, progress, sent, &end),
+        Ok(Received::End(end)) => handle_end(exchange, progress, sent, &end),
         Ok(Received::Broken(cause)) => {
             let message = format!("link to {}: {cause}", target.owner);
-            after_break(exchange, progress, sent.fail(Code::PeerLost, message))
+            handle_interruption(exchange, progress, sent.fail(Code::PeerLost, message))
         }
         Ok(Received::WrongModel(model)) => {
             let message = format!("{} answered as {model}", target.endpoint);
-            after_break(exchange, progress, sent.fail(Code::WrongAdapter, message))
+            handle_interruption(exchange, progress, sent.fail(Code::WrongAdapter, message))
         }
-        Ok(Received::Unwanted) => {
-            Step::Over(sent.fail(Code::CancelledWhileRunning, "the caller left"))
+        Ok(Received::Disconnected) => {
+            AttemptOutcome::Final(sent.fail(Code::CancelledWhileRunning, "the caller left"))
         }
         Err(_) => {
             let message = "the deadline passed before the end of the answer";
-            Step::Over(sent.fail(Code::DeadlineWhileRunning, message))
+            AttemptOutcome::Final(sent.fail(Code::DeadlineWhileRunning, message))
         }
     }
 }
@@ -252,7 +254,7 @@
     exchange: &Exchange,
     target: &Target,
     resume_after: u64,
-    left: Duration,
+    time_left: Duration,
 ) -> Order {
     Order {
         request: exchange.request.to_string(),
@@ -261,28 +263,28 @@
         path: exchange.path.clone(),
         body: exchange.body.clone(),
         priority: u32::from(exchange.priority.unwrap_or_default()),
-        deadline_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+        deadline_ms: u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX),
         idempotent: exchange.idempotent,
         resume_after,
         stream: exchange.stream,
         stamp: node.recorder.clock().tick().0,
         protocol: PROTOCOL,
         weight: exchange
-            .terms
+            .policy
             .as_ref()
-            .map_or(DEFAULT_WEIGHT, |terms| terms.weight),
+            .map_or(DEFAULT_WEIGHT, |policy| policy.weight),
     }
 }
 
-/// How the receiving of frames ended.
+/// How receiving the frames of a response ended.
 enum Received {
     End(End),
     Broken(String),
     WrongModel(String),
-    Unwanted,
+    Disconnected,
 }
 
-/// Passes frames on until the answer ends.
+/// Forwards frames until the response ends.
 async fn receive(
     exchange: &Exchange,
     frames: &mut Frames,
@@ -292,7 +294,7 @@
     loop {
         let next = tokio::select! {
             next = frames.next() => next,
-            () = sink.unwanted() => return Received::Unwanted,
+            () = sink.disconnected() => return Received::Disconnected,
         };
         let part = match next {
             Ok(part) => part,
@@ -302,7 +304,7 @@
             frame::Part::Head(head) if head.model != exchange.model.to_string() => {
                 return Received::WrongModel(head.model);
             }
-            frame::Part::Head(head) => pass_head(head, progress, sink).await,
+            frame::Part::Head(head) => forward_head(head, progress, sink).await,
             frame::Part::Chunk(chunk) => {
                 progress.data = true;
                 progress.last_event = progress.last_event.max(chunk.last_event);
@@ -311,17 +313,17 @@
             frame::Part::End(end) => return Received::End(end),
         };
         if sent.is_err() {
-            return Received::Unwanted;
+            return Received::Disconnected;
         }
     }
 }
 
-/// Passes the head on, once: a resumed run sends it again.
-async fn pass_head(
+/// Forwards the head unless it was forwarded before: a resumed run sends it again.
+async fn forward_head(
     head: WireHead,
     progress: &mut Progress,
     sink: &Sink,
-) -> Result<(), crate::answer::Unwanted> {
+) -> Result<(), crate::response::Disconnected> {
     if std::mem::replace(&mut progress.head, true) {
         return Ok(());
     }
@@ -333,42 +335,56 @@
     sink.send(Part::Head(head)).await
 }
 
-/// Decides what follows from the owner's own word.
-fn decide(exchange: &Exchange, progress: &Progress, sent: Attempt<Sent>, end: &End) -> Step {
+/// Determines what follows from the end frame of the owner.
+fn handle_end(
+    exchange: &Exchange,
+    progress: &Progress,
+    sent: Attempt<Sent>,
+    end: &End,
+) -> AttemptOutcome {
     let number = u16::try_from(end.code).unwrap_or_default();
     let Some(code) = Code::from_number(number) else {
         let message = format!("the owner ended with unknown code {number}");
-        return after_break(exchange, progress, sent.fail(Code::PeerLost, message));
+        return handle_interruption(exchange, progress, sent.fail(Code::PeerLost, message));
     };
     if code == Code::Done {
-        return Step::Over(sent.finish());
+        return AttemptOutcome::Final(sent.finish());
     }
     let hint = (end.retry_after_ms > 0).then(|| Duration::from_millis(end.retry_after_ms));
     match Refusal::decode(code, end.message.clone(), hint) {
-        Some(refusal) if fits_elsewhere(code) => Step::Elsewhere(sent.refused(refusal)),
-        Some(refusal) => Step::Over(over(progress, sent.refused(refusal))),
-        None if code == Code::EndpointFailed => Step::Over(sent.fail(code, end.message.clone())),
-        None => after_break(exchange, progress, sent.fail(code, end.message.clone())),
+        Some(refusal) if may_run_elsewhere(code) => {
+            AttemptOutcome::RetryElsewhere(sent.refused(refusal))
+        }
+        Some(refusal) => AttemptOutcome::Final(final_verdict(progress, sent.refused(refusal))),
+        None if code == Code::EndpointFailed => {
+            AttemptOutcome::Final(sent.fail(code, end.message.clone()))
+        }
+        None => handle_interruption(exchange, progress, sent.fail(code, end.message.clone())),
     }
 }
 
-/// Decides what follows when a request may have run and its answer is not whole.
-fn after_break(exchange: &Exchange, progress: &Progress, verdict: Verdict) -> Step {
+/// Determines what follows when a request may have run and its response is incomplete.
+fn handle_interruption(
+    exchange: &Exchange,
+    progress: &Progress,
+    verdict: Verdict,
+) -> AttemptOutcome {
     if !exchange.idempotent {
-        return Step::Over(verdict);
+        return AttemptOutcome::Final(verdict);
     }
     if !progress.data && exchange.resume_after == 0 {
-        return Step::Elsewhere(verdict);
+        return AttemptOutcome::RetryElsewhere(verdict);
     }
-    // Another run may word its answer differently; only this run's rest fits what the caller has.
+    // Another run may generate different text, so only the rest of this run matches what the caller
+    // has received.
     if exchange.stream && progress.last_event > 0 {
-        return Step::Resume(verdict);
+        return AttemptOutcome::Resume(verdict);
     }
-    Step::Over(verdict)
+    AttemptOutcome::Final(verdict)
 }
 
-/// Keeps "not run" from being said of a request of which the caller already has a part.
-fn over(progress: &Progress, verdict: Verdict) -> Verdict {
+/// Replaces a verdict of class "not run" if the caller has already received a part of the response.
+fn final_verdict(progress: &Progress, verdict: Verdict) -> Verdict {
     if progress.data && verdict.code().class() == Class::NotRun {
         let message = verdict.message().to_owned();
         return Attempt::new().send().fail(Code::Interrupted, message);
--- a/crates/ploverwick_daemon/src/relay/frames.rs
+++ b/crates/ploverwick_daemon/src/relay/frames.rs
@@ -1,4 +1,4 @@
-//! The frames of an answer, from this daemon or another.
+//! The frames of a response, from this daemon or another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,57 +12,57 @@
 
 /// A source of frames.
 pub(crate) enum Frames {
-    /// From an endpoint that this daemon owns.
+    /// An endpoint that this daemon owns.
     Local(mpsc::Receiver<Frame>),
-    /// From another daemon, called at this address.
+    /// Another daemon, with its address.
     Remote(Box<Streaming<Frame>>, SocketAddr, Arc<Node>),
-    /// The call failed after it was sent.
+    /// A call that failed after it was sent.
     Failed(String),
 }
 
 impl Frames {
-    /// Hands an order to the owner of its endpoint.
+    /// Sends an order to the owner of its endpoint.
     ///
     /// # Errors
-    /// Fails only if nothing was sent.
+    /// Returns an error only if nothing was sent.
     pub(crate) async fn open(
         node: &Arc<Node>,
         target: &Target,
         order: Order,
     ) -> Result<Self, String> {
         let Some(address) = target.address else {
-            return Ok(Self::Local(node.owners.submit(order).await));
+            return Ok(Self::Local(node.endpoint_tasks.submit(order).await));
         };
-        let link = node.links.get(address).await;
-        let mut link = link.map_err(|error| error.to_string())?;
-        Ok(Self::called(node, address, link.run(order).await))
+        let peer = node.peer_connections.get(address).await;
+        let mut peer = peer.map_err(|error| error.to_string())?;
+        Ok(Self::from_call(node, address, peer.run(order).await))
     }
 
-    /// Asks another daemon for the answer of a keyed request.
+    /// Requests the cached response for an idempotency key from another daemon.
     ///
     /// # Errors
-    /// Fails only if nothing was sent.
+    /// Returns an error only if nothing was sent.
     pub(crate) async fn join(
         node: &Arc<Node>,
         address: SocketAddr,
-        ask: JoinAsk,
+        message: JoinAsk,
     ) -> Result<Self, String> {
-        let link = node.links.get(address).await;
-        let mut link = link.map_err(|error| error.to_string())?;
-        Ok(Self::called(node, address, link.join(ask).await))
+        let peer = node.peer_connections.get(address).await;
+        let mut peer = peer.map_err(|error| error.to_string())?;
+        Ok(Self::from_call(node, address, peer.join(message).await))
     }
 
-    fn called(
+    fn from_call(
         node: &Arc<Node>,
         address: SocketAddr,
-        called: Result<tonic::Response<Streaming<Frame>>, tonic::Status>,
+        from_call: Result<tonic::Response<Streaming<Frame>>, tonic::Status>,
     ) -> Self {
-        match called {
+        match from_call {
             Ok(response) => {
                 Self::Remote(Box::new(response.into_inner()), address, Arc::clone(node))
             }
             Err(status) => {
-                node.links.forget(address);
+                node.peer_connections.remove(address);
                 Self::Failed(status.to_string())
             }
         }
@@ -71,14 +71,14 @@
     /// Returns the next part.
     ///
     /// # Errors
-    /// Fails if the source ends before the answer does.
+    /// Returns an error if the source ends before the response does.
     pub(crate) async fn next(&mut self) -> Result<frame::Part, String> {
         let frame = match self {
             Self::Local(frames) => frames.recv().await,
             Self::Remote(frames, address, node) => match frames.message().await {
                 Ok(frame) => frame,
                 Err(status) => {
-                    node.links.forget(*address);
+                    node.peer_connections.remove(*address);
                     return Err(status.to_string());
                 }
             },
@@ -93,11 +93,11 @@
         Ok(part)
     }
 
-    /// Reads the end of the stream itself. A stream that is dropped before it is reset, and a
-    /// thousand resets close the whole connection.
+    /// Reads the end of the HTTP/2 stream. A stream that is dropped before its end is reset, and
+    /// after a thousand resets the whole connection is closed.
     async fn finish(&mut self) {
         if let Self::Remote(frames, ..) = self {
-            // The answer is whole; what the stream says after it changes nothing.
+            // The response is complete, so errors no longer matter.
             let _ = frames.message().await;
         }
     }
--- a/crates/ploverwick_daemon/src/reply.rs
+++ b/crates/ploverwick_daemon/src/reply.rs
@@ -1,4 +1,4 @@
-//! The replies that callers get.
+//! HTTP replies to callers.
 
 use std::io;
 use std::time::Duration;
@@ -14,32 +14,32 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-use crate::answer::{Head, PARTS_AHEAD, Part};
+use crate::response::{Head, PART_CHANNEL_CAPACITY, Part};
 
-/// Makes a reply of an answer's parts.
-pub(crate) async fn answer(
+/// Creates a reply from the parts of a response.
+pub(crate) async fn from_parts(
     mut parts: mpsc::Receiver<Part>,
     request: &RequestName,
-    streams: bool,
+    stream_requested: bool,
 ) -> Reply {
-    if streams {
+    if stream_requested {
         return match parts.recv().await {
-            Some(Part::Head(head)) => streamed(&head, parts, request),
+            Some(Part::Head(head)) => streaming(&head, parts, request),
             Some(Part::End(verdict)) => error(&verdict, Some(request)),
-            Some(Part::Data(..)) | None => error(&lost(), Some(request)),
+            Some(Part::Data(..)) | None => error(&missing_head(), Some(request)),
         };
     }
-    whole(parts, request).await
+    buffered(parts, request).await
 }
 
-fn lost() -> Verdict {
+fn missing_head() -> Verdict {
     use ploverwick_codes::attempt::Attempt;
     let sent = Attempt::new().send();
     sent.fail(Code::Interrupted, "the answer has no start")
 }
 
-/// Collects a whole answer, so that its status tells how it ended.
-async fn whole(mut parts: mpsc::Receiver<Part>, request: &RequestName) -> Reply {
+/// Collects the whole response, so that the HTTP status can report how it ended.
+async fn buffered(mut parts: mpsc::Receiver<Part>, request: &RequestName) -> Reply {
     let mut head = None;
     let mut body = BytesMut::new();
     while let Some(part) = parts.recv().await {
@@ -53,7 +53,7 @@
             Part::End(verdict) => return error(&verdict, Some(request)),
         }
     }
-    error(&lost(), Some(request))
+    error(&missing_head(), Some(request))
 }
 
 fn done(head: &Head, body: Bytes, request: &RequestName) -> Reply {
@@ -64,13 +64,13 @@
             .headers_mut()
             .insert(http::header::CONTENT_TYPE, value);
     }
-    mark(&mut reply, Code::Done, Some(request), head.model.as_deref());
+    set_headers(&mut reply, Code::Done, Some(request), head.model.as_deref());
     reply
 }
 
-/// Passes a stream on. If it does not end well, it tells why in a last event and breaks off.
-fn streamed(head: &Head, mut parts: mpsc::Receiver<Part>, request: &RequestName) -> Reply {
-    let (sender, bytes) = mpsc::channel(PARTS_AHEAD);
+/// Forwards a stream. On failure it sends the error as the last event and aborts the connection.
+fn streaming(head: &Head, mut parts: mpsc::Receiver<Part>, request: &RequestName) -> Reply {
+    let (sender, bytes) = mpsc::channel(PART_CHANNEL_CAPACITY);
     tokio::spawn(async move {
         while let Some(part) = parts.recv().await {
             let sent = match part {
@@ -93,11 +93,11 @@
     });
     let status = StatusCode::from_u16(head.status).unwrap_or(StatusCode::OK);
     let mut reply = stream(status, &head.content_type, bytes);
-    mark(&mut reply, Code::Done, Some(request), head.model.as_deref());
+    set_headers(&mut reply, Code::Done, Some(request), head.model.as_deref());
     reply
 }
 
-fn mark(reply: &mut Reply, code: Code, request: Option<&RequestName>, model: Option<&str>) {
+fn set_headers(reply: &mut Reply, code: Code, request: Option<&RequestName>, model: Option<&str>) {
     let headers = reply.headers_mut();
     headers.insert(header::CODE, HeaderValue::from(code.number()));
     if let Some(Ok(value)) = request.map(|name| HeaderValue::from_str(name.as_str())) {
@@ -108,7 +108,7 @@
     }
 }
 
-/// The body of an answer that is not the one asked for.
+/// The body of an error response.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: ErrorFields<'a>,
@@ -145,14 +145,14 @@
     serde_json::to_string(&body).expect("the project's own messages have a JSON form")
 }
 
-/// Makes the reply for a request that was refused or failed.
+/// Creates the reply to a request that was refused or failed.
 pub(crate) fn error(verdict: &Verdict, request: Option<&RequestName>) -> Reply {
     let code = verdict.code();
     let status = StatusCode::from_u16(code.http()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut reply = ploverwick_serve::bytes(status, "application/json", error_body(verdict));
-    mark(&mut reply, code, request, None);
+    set_headers(&mut reply, code, request, None);
     if let Some(hint) = verdict.hint() {
-        // The header counts whole seconds; the body has the exact hint.
+        // The header is in whole seconds; the body has the exact hint.
         let seconds = hint
             .as_millis()
             .div_ceil(Duration::from_secs(1).as_millis());
--- a/crates/ploverwick_daemon/src/route.rs
+++ b/crates/ploverwick_daemon/src/route.rs
@@ -1,4 +1,4 @@
-//! Finds the endpoints that a request may run on, and their owners.
+//! Selects the endpoints for a request and finds their owners.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,19 @@
 use crate::lock::lock;
 use crate::node::Node;
 
-/// An endpoint and the daemon to ask for it.
+/// An endpoint and its owner.
 #[derive(Debug, Clone)]
 pub(crate) struct Target {
-    /// The endpoint.
     pub(crate) endpoint: Endpoint,
-    /// Its owner.
     pub(crate) owner: Life,
-    /// Where the owner's peers reach it; `None` if this daemon is the owner.
+    /// The owner's address for peers; `None` if this daemon is the owner.
     pub(crate) address: Option<SocketAddr>,
 }
 
-/// Lists the endpoints for a model, best first, whose owners are known and present.
+/// Returns the endpoints for a model whose owners are known and present, in the order of preference.
 ///
-/// The order is the same on every daemon, so an adapter's requests meet where it is loaded.
+/// The order is the same on every daemon, so that requests for an adapter go to the endpoints where
+/// it is loaded.
 pub(crate) fn targets(node: &Node, model: &Model, variant: &Variant, count: usize) -> Vec<Target> {
     let listing = node.listing.borrow().clone();
     let entries: Vec<&EndpointEntry> = listing::serving(&listing, model.base.as_str()).collect();
@@ -36,9 +35,9 @@
         .collect()
 }
 
-/// Finds an endpoint's owner, if it is known and present.
+/// Returns an endpoint with its owner, if the owner is known and present.
 pub(crate) fn target(node: &Node, endpoint: &Endpoint) -> Option<Target> {
-    let owner = lock(&node.holds).owner(endpoint)?.clone();
+    let owner = lock(&node.ownership).owner(endpoint)?.clone();
     if owner == node.life {
         return Some(Target {
             endpoint: endpoint.clone(),
--- a/crates/ploverwick_daemon/src/scribes.rs
+++ b/crates/ploverwick_daemon/src/scribes.rs
@@ -1,4 +1,4 @@
-//! The partitions of claims of which this daemon is the scribe, and the channels to them.
+//! The claim partitions of which this daemon is the scribe, and the channels to their tasks.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Mutex;
@@ -9,40 +9,40 @@
 
 use crate::lock::lock;
 
-/// How many claims may wait for a scribe.
-const ASKS: usize = 1024;
+/// The maximum number of claims queued for a scribe.
+const MAX_QUEUED_CLAIMS: usize = 1024;
 
-/// A claim on its way to a scribe.
-pub(crate) struct Asked {
-    pub(crate) ask: ClaimRequest,
-    pub(crate) answer: oneshot::Sender<Outcome>,
+/// A claim queued for a scribe, with the channel for its outcome.
+pub(crate) struct PendingClaim {
+    pub(crate) claim: ClaimRequest,
+    pub(crate) reply: oneshot::Sender<Outcome>,
 }
 
 /// The partitions of which this daemon is the scribe.
 #[derive(Debug, Default)]
 pub(crate) struct Scribes {
-    tasks: Mutex<HashMap<u32, mpsc::Sender<Asked>>>,
-    given_up: Mutex<GivenUp>,
+    tasks: Mutex<HashMap<u32, mpsc::Sender<PendingClaim>>>,
+    abandoned: Mutex<AbandonedRequests>,
 }
 
-/// Requests of this life that never ran and never will, up to a fixed number. For an older one
-/// the entry says that the answer is lost, which is safe.
+/// Requests of this process that have not run and never will, up to a fixed number. For older ones
+/// the daemon reports that the response is lost, which is safe.
 #[derive(Debug, Default)]
-struct GivenUp {
+struct AbandonedRequests {
     known: HashSet<Request>,
     order: VecDeque<Request>,
 }
 
-impl GivenUp {
-    /// The most requests remembered.
-    const MOST: usize = 16_384;
+impl AbandonedRequests {
+    /// The maximum number of requests kept.
+    const MAX_REQUESTS: usize = 16_384;
 
     fn insert(&mut self, request: &Request) {
         if !self.known.insert(request.clone()) {
             return;
         }
         self.order.push_back(request.clone());
-        if self.order.len() > Self::MOST
+        if self.order.len() > Self::MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
@@ -61,27 +61,31 @@
         lock(&self.tasks).len()
     }
 
-    /// Returns the channel to the scribe of a partition; with the receiver if its task must be started.
+    /// Returns the channel to the scribe of a partition. If its task is not running, also returns the
+    /// receiver, and the caller must start the task.
     pub(crate) fn open(
         &self,
         partition: u32,
-    ) -> (mpsc::Sender<Asked>, Option<mpsc::Receiver<Asked>>) {
+    ) -> (
+        mpsc::Sender<PendingClaim>,
+        Option<mpsc::Receiver<PendingClaim>>,
+    ) {
         let mut tasks = lock(&self.tasks);
         if let Some(task) = tasks.get(&partition).filter(|task| !task.is_closed()) {
             return (task.clone(), None);
         }
-        let (sender, asks) = mpsc::channel(ASKS);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_CLAIMS);
         tasks.insert(partition, sender.clone());
-        (sender, Some(asks))
+        (sender, Some(receiver))
     }
 
-    /// Remembers that a request of this life never ran and never will.
-    pub(crate) fn give_up(&self, request: &Request) {
-        lock(&self.given_up).insert(request);
+    /// Records that a request of this process has not run and never will.
+    pub(crate) fn abandon(&self, request: &Request) {
+        lock(&self.abandoned).insert(request);
     }
 
-    /// Says whether a request of this life was given up.
-    pub(crate) fn gave_up(&self, request: &Request) -> bool {
-        lock(&self.given_up).known.contains(request)
+    /// Returns whether a request of this process was abandoned.
+    pub(crate) fn is_abandoned(&self, request: &Request) -> bool {
+        lock(&self.abandoned).known.contains(request)
     }
 }
--- a/crates/ploverwick_daemon/src/service.rs
+++ b/crates/ploverwick_daemon/src/service.rs
@@ -1,7 +1,8 @@
 //! Routes requests to plain services.
 //!
-//! A call may be repeated if its method says so. A call that may not be repeated is tried once;
-//! with a key it runs at most once over all its repeats, like a non-idempotent model request.
+//! Whether a call may be retried depends on its method and the settings of the service. A call that
+//! may have run is retried only if its method permits. With an idempotency key, a call that is not
+//! repeatable runs at most once across all its repeats, like a non-idempotent model request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,15 +24,15 @@
 use ploverwick_timeline::{Event, Kind};
 use tokio::sync::mpsc;
 
-use crate::answer::{Entry, Head, PARTS_AHEAD, Part, Sink};
-use crate::chain::{self, Keyed, refuse, remaining};
+use crate::chain::{self, IdempotencyKey, refuse, remaining};
 use crate::controllers::claims;
 use crate::lock::lock;
 use crate::node::Node;
-use crate::{joining, listing, reply};
+use crate::response::{Head, Lookup, PART_CHANNEL_CAPACITY, Part, Sink};
+use crate::{idempotency, listing, reply};
 
-/// Headers that concern one connection, or this daemon alone, and are not passed on.
-const NOT_PASSED: [&str; 9] = [
+/// Headers that are not forwarded, because they concern a single connection or only this daemon.
+const STRIPPED_HEADERS: [&str; 9] = [
     "authorization",
     "connection",
     "content-length",
@@ -42,7 +43,8 @@
     "transfer-encoding",
     "upgrade",
 ];
-const OWN_PREFIX: &str = "ploverwick-";
+/// The prefix of this project's own headers, which are not forwarded either.
+const OWN_HEADER_PREFIX: &str = "ploverwick-";
 
 /// A call to a plain service.
 struct Call {
@@ -53,18 +55,18 @@
     body: Bytes,
     deadline: Moment,
     repeatable: bool,
-    keyed: Option<Keyed>,
+    idempotency_key: Option<IdempotencyKey>,
     serves: String,
 }
 
-/// Answers a request whose path is none of the daemon's own.
+/// Handles a request whose path is not one of the daemon's own.
 pub(crate) async fn handle(node: &Arc<Node>, request: Request<Incoming>) -> Reply {
     match admit(node, request).await {
         Ok(call) => {
             let request = call.request.clone();
-            let (sender, parts) = mpsc::channel(PARTS_AHEAD);
+            let (sender, parts) = mpsc::channel(PART_CHANNEL_CAPACITY);
             tokio::spawn(run(Arc::clone(node), call, sender));
-            reply::answer(parts, &request, true).await
+            reply::from_parts(parts, &request, true).await
         }
         Err(verdict) => reply::error(&verdict, None),
     }
@@ -88,7 +90,7 @@
     }
     let (parts, body) = request.into_parts();
     let caller = chain::identify(&node.settings.access, &parts.headers)?;
-    let keyed = chain::keyed(&parts.headers, &caller)?;
+    let idempotency_key = chain::idempotency_key(&parts.headers, &caller)?;
     let repeatable = is_repeatable(service, &parts.method);
     let body = chain::read_body(node, body).await?;
     let rest = parts.uri.path_and_query().map_or("", |path| path.as_str());
@@ -96,11 +98,11 @@
         request: node.new_request(),
         method: parts.method,
         path: format!("/{}", &rest[service.prefix.len()..]),
-        headers: passed_on(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body,
         deadline: chain::deadline(node, &parts.headers)?,
         repeatable,
-        keyed: keyed.filter(|_| !repeatable),
+        idempotency_key: idempotency_key.filter(|_| !repeatable),
         serves: service.serves.clone(),
     })
 }
@@ -111,7 +113,7 @@
         .any(|known| known.eq_ignore_ascii_case(method.as_str()))
 }
 
-/// Says whether a path could climb out of its prefix, also with encoded dots.
+/// Returns whether a path has a dot segment, also if encoded, with which it could escape its prefix.
 fn has_dot_segment(path: &str) -> bool {
     let decoded = path
         .to_ascii_lowercase()
@@ -122,42 +124,43 @@
         .any(|segment| matches!(segment, "." | ".."))
 }
 
-/// Returns the headers that a service gets: none that could pass for this daemon's own.
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let passes = |name: &HeaderName| {
-        !NOT_PASSED.contains(&name.as_str()) && !name.as_str().starts_with(OWN_PREFIX)
+/// Returns the headers to forward to a service. None of them can be mistaken for this daemon's own.
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let is_forwarded = |name: &HeaderName| {
+        !STRIPPED_HEADERS.contains(&name.as_str()) && !name.as_str().starts_with(OWN_HEADER_PREFIX)
     };
-    let kept = headers.iter().filter(|(name, _)| passes(name));
-    kept.map(|(name, value)| (name.clone(), value.clone()))
+    let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name));
+    forwarded
+        .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
 async fn run(node: Arc<Node>, call: Call, sender: mpsc::Sender<Part>) {
-    let Some(keyed) = call.keyed else {
+    let Some(idempotency_key) = call.idempotency_key else {
         let sink = Sink::Direct(sender);
         let verdict = relay(&node, &call, &sink).await;
         finish(&node, &call, &sink, verdict).await;
         return;
     };
-    let answer = match node.answers.entry(keyed.key, &call.request) {
-        Entry::Found(answer) => answer,
-        Entry::Begun(answer) => {
-            let begun = Arc::clone(&answer);
+    let response = match node.responses.entry(idempotency_key.key, &call.request) {
+        Lookup::Found(response) => response,
+        Lookup::Started(response) => {
+            let started = Arc::clone(&response);
             tokio::spawn(async move {
-                let sink = Sink::Kept(Arc::clone(&begun));
-                let verdict = claim_and_relay(&node, &call, keyed, &sink).await;
+                let sink = Sink::Cached(Arc::clone(&started));
+                let verdict = claim_and_relay(&node, &call, idempotency_key, &sink).await;
                 let class = verdict.code().class();
                 finish(&node, &call, &sink, verdict).await;
                 if class == Class::NotRun {
-                    node.answers.remove(&keyed.key, &call.request);
+                    node.responses.remove(&idempotency_key.key, &call.request);
                 } else {
-                    node.answers.finished(keyed.key, &begun);
+                    node.responses.finished(idempotency_key.key, &started);
                 }
             });
-            answer
+            response
         }
     };
-    answer.read(0, sender).await;
+    response.read(0, sender).await;
 }
 
 async fn finish(node: &Node, call: &Call, sink: &Sink, verdict: Verdict) {
@@ -165,31 +168,36 @@
     metrics::counter!("ploverwick_service_calls", "code" => code.name()).increment(1);
     let event = Event::new(Kind::Request, format!("service call ends with {code}"));
     node.record(event.request(&call.request));
-    // The caller may have left.
+    // The receiver may have disconnected.
     let _ = sink.send(Part::End(verdict)).await;
 }
 
-async fn claim_and_relay(node: &Arc<Node>, call: &Call, keyed: Keyed, sink: &Sink) -> Verdict {
-    match claims::claim(node, &call.request, keyed).await {
+async fn claim_and_relay(
+    node: &Arc<Node>,
+    call: &Call,
+    idempotency_key: IdempotencyKey,
+    sink: &Sink,
+) -> Verdict {
+    match claims::claim(node, &call.request, idempotency_key).await {
         Outcome::Won => {
             let verdict = relay(node, call, sink).await;
             if verdict.code().class() == Class::NotRun {
-                claims::forfeit(node, &call.request, keyed);
+                claims::forfeit(node, &call.request, idempotency_key);
             }
             verdict
         }
-        Outcome::Lost(holder) => joining::join(node, &holder, keyed, sink).await,
+        Outcome::Lost(holder) => idempotency::join(node, &holder, idempotency_key, sink).await,
         Outcome::Expired => refuse(Code::KeyExpired, "the key is outside its window"),
         Outcome::Unconfirmed => {
-            claims::forfeit(node, &call.request, keyed);
+            claims::forfeit(node, &call.request, idempotency_key);
             refuse(Code::LogUnavailable, "the log does not confirm the key")
         }
     }
 }
 
-/// Tries the service's endpoints in turn, as far as the call may be repeated.
+/// Tries the service's endpoints in order, as long as the call may be retried.
 async fn relay(node: &Arc<Node>, call: &Call, sink: &Sink) -> Verdict {
-    lock(&node.retries).earn(node.settings.requests.retries_per_100);
+    lock(&node.retry_budget).deposit(node.settings.requests.retries_per_100);
     let listing = node.listing.borrow().clone();
     let entries: Vec<&EndpointEntry> = listing::service(&listing, &call.serves).collect();
     let candidates = even(entries.iter().map(|entry| entry.name.as_str()));
@@ -199,9 +207,10 @@
         Code::NoEndpoint,
         format!("no endpoint serves {}", call.serves),
     );
-    // What the caller is told: a later try's refusal takes nothing back of an earlier one.
-    let mut told = last.clone();
-    // The first endpoint gets a second chance after a break, for it may be the only one.
+    // The verdict for the caller. The refusal of a retry does not override an earlier attempt that
+    // may have run.
+    let mut combined = last.clone();
+    // After an interruption the first endpoint is tried again, because it may be the only one.
     for (tried, index) in order.iter().chain(order.first()).enumerate() {
         if tried == order.len() && last.code().class() == Class::NotRun {
             break;
@@ -211,25 +220,26 @@
         let code = verdict.code();
         let event = Event::new(Kind::Attempt, format!("service call: {code}"));
         node.record(event.request(&call.request).endpoint(&entry.name));
-        told = verdict.clone().after(told);
+        combined = verdict.clone().after(combined);
         if head || matches!(code, Code::Done | Code::DeadlineWhileRunning) {
-            return told;
+            return combined;
         }
-        // Only a call that is really repeated takes from the budget.
-        let safe = code.class() == Class::NotRun || call.repeatable && lock(&node.retries).take();
+        // The retry budget is only charged for a call that may have run and is retried.
+        let safe =
+            code.class() == Class::NotRun || call.repeatable && lock(&node.retry_budget).take();
         if !safe {
-            return told;
+            return combined;
         }
         last = verdict;
     }
-    told
+    combined
 }
 
-/// Makes one attempt; also says whether the caller has the head of an answer.
+/// Makes one attempt. Also returns whether the caller has received the head of a response.
 async fn attempt(node: &Node, call: &Call, entry: &EndpointEntry, sink: &Sink) -> (Verdict, bool) {
     let unsent = Attempt::new();
-    let left = remaining(node, call.deadline);
-    if left.is_zero() {
+    let time_left = remaining(node, call.deadline);
+    if time_left.is_zero() {
         let verdict = unsent.refuse(Code::DeadlineBeforeRun, "the deadline has passed");
         return (verdict, false);
     }
@@ -243,14 +253,14 @@
         }
     };
     let mut head = false;
-    let passing = pass(node, entry.address, request, sink, &mut head);
-    let passed = tokio::time::timeout(left, passing).await;
-    let verdict = match passed {
+    let forwarding = forward(node, entry.address, request, sink, &mut head);
+    let forwarded = tokio::time::timeout(time_left, forwarding).await;
+    let verdict = match forwarded {
         Ok(Ok(())) => unsent.send().finish(),
-        Ok(Err(fault @ CallError::Unreachable { .. })) => {
-            unsent.refuse(Code::PeerUnreachable, fault.to_string())
+        Ok(Err(error @ CallError::Unreachable { .. })) => {
+            unsent.refuse(Code::PeerUnreachable, error.to_string())
         }
-        Ok(Err(fault)) => unsent.send().fail(Code::Interrupted, fault.to_string()),
+        Ok(Err(error)) => unsent.send().fail(Code::Interrupted, error.to_string()),
         Err(_) => unsent
             .send()
             .fail(Code::DeadlineWhileRunning, "the deadline passed"),
@@ -268,7 +278,7 @@
     Ok(request)
 }
 
-async fn pass(
+async fn forward(
     node: &Node,
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -286,15 +296,17 @@
             .to_owned(),
         model: None,
     };
-    let unwanted = || lost("the caller left".to_owned());
+    let disconnected = || lost("the caller left".to_owned());
     *head = true;
-    sink.send(Part::Head(first)).await.map_err(|_| unwanted())?;
+    sink.send(Part::Head(first))
+        .await
+        .map_err(|_| disconnected())?;
     let mut body = response.into_body();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| lost(error.to_string()))?;
         if let Ok(bytes) = frame.into_data() {
             let sent = sink.send(Part::Data(bytes, 0)).await;
-            sent.map_err(|_| unwanted())?;
+            sent.map_err(|_| disconnected())?;
         }
     }
     Ok(())
--- a/crates/ploverwick_daemon/src/status.rs
+++ b/crates/ploverwick_daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells operators of itself.
+//! The status of a daemon, as reported to operators.
 
 use ploverwick_names::{Endpoint, Offset, Token, Variant};
 use ploverwick_owner::endpoint::State;
@@ -7,58 +7,59 @@
 /// The status of a daemon.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
-    /// The instance.
+    /// The name of the instance.
     pub instance: String,
-    /// Which of its lives.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Whether it takes no new requests.
+    /// Whether it is draining and refuses new requests.
     pub draining: bool,
-    /// The version of the table in force.
+    /// The version of the current table.
     pub table: Offset,
-    /// The other instances as it knows them.
+    /// The other members of the fleet, as known to this daemon.
     pub members: Vec<MemberStatus>,
-    /// Every model endpoint listed, with its owner.
+    /// All listed model endpoints with their owners.
     pub endpoints: Vec<EndpointStatus>,
-    /// The endpoints that it owns, or owned and still has requests on.
+    /// The listed endpoints that it owns or has owned.
     pub owned: Vec<OwnedEndpoint>,
-    /// The number of keyed answers held.
+    /// The number of cached responses for idempotency keys.
     pub answers: usize,
-    /// The number of key partitions of which it is the scribe.
+    /// The number of claim partitions of which it is the scribe.
     pub scribes: usize,
 }
 
-/// A member as a daemon knows it.
+/// A member of the fleet, as known to a daemon.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The instance.
+    /// The name of the instance.
     pub instance: String,
-    /// Which of its lives.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its state.
     pub state: String,
 }
 
-/// An endpoint and its owner.
+/// An endpoint and its owner, if known.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// Its owner.
+    /// The owner's identity.
     pub owner: Option<String>,
     /// Whether the platform lists it as leaving.
     pub leaving: bool,
 }
 
-/// An endpoint as its owner knows it.
+/// An endpoint, as known to its current or former owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OwnedEndpoint {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// Whether it is still owned here.
+    /// Whether this daemon still owns it.
     pub owned: bool,
-    /// Whether nothing of this daemon runs there or is on its way, and its successor may know.
+    /// Whether no request or order of this daemon is running there or in flight, so that successors
+    /// may be notified.
     pub settled: bool,
     /// The newest fencing token.
     pub token: Token,
@@ -66,16 +67,16 @@
     pub waiting: usize,
     /// The number of requests running.
     pub running: usize,
-    /// The most requests computed in one step.
+    /// The maximum number of requests in a batch.
     pub batch: u32,
-    /// The adapter slots in use.
+    /// The occupied adapter slots.
     pub slots: Vec<Slot>,
 }
 
-/// An adapter slot in use.
+/// An occupied adapter slot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Slot {
-    /// What it holds.
+    /// The adapter version in the slot.
     pub variant: Variant,
     /// Its state.
     pub state: String,
