--- a/crates/ploverwick_daemon/src/chain.rs
+++ b/crates/ploverwick_daemon/src/chain.rs
@@ -1,6 +1,6 @@
 //! The chain of filters that a request passes before it is relayed.
 //!
-//! [`read`] parses the request into an [`Exchange`]. Each of the [`FILTERS`] then checks it in order
+//! [`read()`] parses the request into an [`Exchange`]. Each of the [`FILTERS`] then checks it in order
 //! and may refuse it. The request has not been sent anywhere yet, so every refusal means "not run".
 
 mod identify;
--- a/crates/ploverwick_daemon/src/lib.rs
+++ b/crates/ploverwick_daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The daemon: a thin layer of async tasks around the crates that make the decisions.
 //!
 //! A request passes a [`chain`] of filters, and [`relay`] then forwards it to the owner of an
-//! endpoint. The [`controllers`] maintain the state shared between daemons, with one task for each
-//! kind of state. The decision logic is in the crates `ploverwick_owner`, `ploverwick_claims`,
+//! endpoint. The [`controllers`] maintain the state shared between daemons, one for each kind of
+//! state. The decision logic is in the crates `ploverwick_owner`, `ploverwick_claims`,
 //! `ploverwick_members`, `ploverwick_table` and `ploverwick_placement`.
 
 mod admin;
--- a/crates/ploverwick_daemon/src/peer.rs
+++ b/crates/ploverwick_daemon/src/peer.rs
@@ -99,23 +99,23 @@
     after: u64,
     sender: mpsc::Sender<Frame>,
 ) {
-    let answer = node
+    let response = node
         .responses
         .get(&key)
-        .filter(|answer| answer.request == request);
-    let Some(answer) = answer else {
+        .filter(|response| response.request == request);
+    let Some(response) = response else {
         let (code, message) = missing_response(&node, key, request);
         let _ = sender.send(end_frame(code, &message, None)).await;
         return;
     };
     let (parts, mut receiver) = mpsc::channel(PART_CHANNEL_CAPACITY);
-    let reading = tokio::spawn(async move { answer.read(after, parts).await });
+    let reader = tokio::spawn(async move { response.read(after, parts).await });
     while let Some(part) = receiver.recv().await {
         if sender.send(to_frame(part)).await.is_err() {
             break;
         }
     }
-    reading.abort();
+    reader.abort();
 }
 
 fn missing_response(node: &Arc<Node>, key: Key, request: RequestName) -> (Code, String) {
