--- a/crates/ploverwick_gateway/src/clock.rs
+++ b/crates/ploverwick_gateway/src/clock.rs
@@ -27,11 +27,11 @@
 impl Clock {
     /// Starts to count.
     pub fn start() -> Self {
-        Self::beside(boot_time)
+        Self::with_boot_clock(boot_time)
     }
 
     /// Starts to count beside a clock that counts suspensions.
-    pub fn beside(counting: fn() -> Duration) -> Self {
+    pub fn with_boot_clock(counting: fn() -> Duration) -> Self {
         Self {
             start: Instant::now(),
             first: counting(),
--- a/crates/ploverwick_gateway/src/controllers.rs
+++ b/crates/ploverwick_gateway/src/controllers.rs
@@ -36,12 +36,12 @@
 
 /// Waits until a call of another topic works again, or it is time to ask by itself.
 async fn until_back(shared: &Shared) {
-    let longest = if shared.is_caller() {
+    let longest = if shared.polls_store() {
         OTHERS
     } else {
         OTHERS * 2
     };
-    let mut away = shared.store_away.subscribe();
+    let mut away = shared.store_unavailable.subscribe();
     // The sender lives as long as the process; a wait that ends by its time is what is meant to happen.
     drop(tokio::time::timeout(longest, away.wait_for(|is_away| !is_away)).await);
 }
@@ -61,7 +61,7 @@
 
     async fn pause(&mut self, shared: &Shared) {
         tokio::time::sleep(self.0).await;
-        let longest = if shared.is_caller() {
+        let longest = if shared.polls_store() {
             LONGEST_RETRY
         } else {
             LONGEST_SPARED
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/demand.rs
@@ -12,7 +12,7 @@
 pub(crate) fn ask(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
     let now = shared.now();
     let state = shared.state();
-    let is_own = *domain == *shared.settings.domain && state.tenure.is_held(now);
+    let is_own = *domain == *shared.settings.domain && state.placer_lease.is_held(now);
     let placer = state.placer_of(domain, now);
     drop(state);
     if is_own {
@@ -29,7 +29,7 @@
 pub(crate) fn take(shared: &Arc<Shared>, copy: &Copy, need: Need) {
     let now = shared.now();
     let mut state = shared.state();
-    if !state.tenure.is_held(now) {
+    if !state.placer_lease.is_held(now) {
         return;
     }
     let domain = &shared.settings.domain;
@@ -71,7 +71,7 @@
             need,
             past.contains(&endpoint)
         );
-        shared.orders.notify_waiters();
+        shared.orders_changed.notify_waiters();
     }
 }
 
@@ -79,7 +79,7 @@
 pub(crate) fn renew(shared: &Arc<Shared>, copy: &Copy) {
     let now = shared.now();
     let state = shared.state();
-    if !state.tenure.is_held(now) {
+    if !state.placer_lease.is_held(now) {
         return;
     }
     let mut endpoints = state.placer.endpoints();
--- a/crates/ploverwick_gateway/src/controllers/draining.rs
+++ b/crates/ploverwick_gateway/src/controllers/draining.rs
@@ -52,6 +52,6 @@
     drop(state);
     metrics::endpoint_draining();
     spdlog::info!("endpoint_draining endpoint={} by={}", endpoint, source);
-    shared.orders.notify_waiters();
+    shared.orders_changed.notify_waiters();
     true
 }
--- a/crates/ploverwick_gateway/src/controllers/freshness.rs
+++ b/crates/ploverwick_gateway/src/controllers/freshness.rs
@@ -12,10 +12,10 @@
 use ploverwick_topics::freshness::{Action, Proof};
 use ploverwick_topics::{Position, Reading};
 
-use crate::mail::{Message, Question};
+use crate::messages::{Message, QueryId};
 use crate::metrics;
 use crate::shared::Shared;
-use crate::state::{PEER_AGE, State};
+use crate::state::{PEER_TIMEOUT, State};
 use crate::topics::Topic;
 
 /// How often an instance looks whether there is anything to prove.
@@ -72,21 +72,25 @@
     state.freshness.record_ask(now);
     let to = readers(shared, &state, of_all_domains, now);
     drop(state);
-    let question = shared.question(now);
-    shared.mail.send(&Message::AskProof { question }, &to);
+    let query_id = shared.query_id(now);
+    shared
+        .peer_socket
+        .send(&Message::ProofRequest { query_id }, &to);
 }
 
 /// Lists peers that read the operator's topic, those with more of a processor first; of this failure domain
 /// the first one alone.
 fn readers(shared: &Shared, state: &State, of_all_domains: bool, now: Moment) -> Vec<IpAddr> {
     let peers = state.peers.iter().filter(|(_, peer)| {
-        let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
-        let reads = peer.stands.of(Topic::Operator).reading == Reading::Reads;
+        let is_heard = peer
+            .last_seen
+            .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
+        let reads = peer.read_states.of(Topic::Operator).reading == Reading::Reads;
         let is_near = peer.domain == shared.settings.domain;
         is_heard && reads && (is_near || of_all_domains)
     });
     let mut peers: Vec<_> = peers
-        .map(|(name, peer)| (peer.place(name), peer.ip))
+        .map(|(name, peer)| (peer.candidate(name), peer.ip))
         .collect();
     peers.sort_by(|(a, _), (b, _)| b.precedes(*a).cmp(&a.precedes(*b)));
     let most = if of_all_domains { MOST_ASKED } else { 1 };
@@ -98,7 +102,7 @@
     let from = {
         let mut state = shared.state();
         state.freshness.record_read(now);
-        state.stands.of(Topic::Operator).end
+        state.read_states.of(Topic::Operator).end
     };
     let reading = shared.store.read(OPERATOR_TOPIC, from, Duration::ZERO);
     let end = match tokio::time::timeout(bound.mul_f64(ANSWER), reading).await {
@@ -117,31 +121,31 @@
     state.freshness.add_proof(Proof::new(end, now));
     drop(state);
     // Whoever is behind reads on.
-    shared.inboxes.of(Topic::Operator).hear_end(end);
+    shared.inboxes.of(Topic::Operator).observe_end(end);
 }
 
 /// Answers a peer's question.
-pub(crate) fn answer(shared: &Shared, to: IpAddr, question: Question) {
+pub(crate) fn answer(shared: &Shared, to: IpAddr, query_id: QueryId) {
     let now = shared.now();
     let Some(proven) = shared.state().freshness.proof() else {
         return;
     };
     let age = proven.age(now).as_millis();
     let answer = Message::Proof {
-        question,
+        query_id,
         end: proven.end,
         age_ms: u64::try_from(age).unwrap_or(u64::MAX),
     };
-    shared.mail.send(&answer, &[to]);
+    shared.peer_socket.send(&answer, &[to]);
 }
 
 /// Takes in a peer's answer. The peer worked out the age after it was asked, so that its proof is no older
 /// than the age counted from the question.
-pub(crate) fn hear(shared: &Shared, question: Question, end: Position, age: Duration) {
-    if !shared.asked(question) {
+pub(crate) fn hear(shared: &Shared, query_id: QueryId, end: Position, age: Duration) {
+    if !shared.is_own_query(query_id) {
         return;
     }
-    let statement = Proof::with_age(end, question.at, age);
+    let statement = Proof::with_age(end, query_id.sent_at, age);
     shared.state().freshness.add_proof(statement);
-    shared.inboxes.of(Topic::Operator).hear_end(end);
+    shared.inboxes.of(Topic::Operator).observe_end(end);
 }
--- a/crates/ploverwick_gateway/src/controllers/instances.rs
+++ b/crates/ploverwick_gateway/src/controllers/instances.rs
@@ -12,8 +12,8 @@
 use super::feed::{Feed, News};
 use super::{Backoff, topic};
 use crate::shared::Shared;
-use crate::state::{Listing, PEER_AGE, Peer};
-use crate::topics::{Stands, Topic};
+use crate::state::{InstanceListState, PEER_TIMEOUT, Peer};
+use crate::topics::{ReadStates, Topic};
 
 /// How long a read waits for a record; instances come and go rarely, and peers that are not listed
 /// yet make themselves known by their messages.
@@ -81,13 +81,13 @@
     let mut records = snapshot.records.iter();
     let Some(own) = records.find(|record| record.key == *shared.settings.instance) else {
         // An earlier life that ended in order took its line away a turn after its last order.
-        shared.state().tenure.confirm_no_recent_orders();
+        shared.state().placer_lease.confirm_no_recent_orders();
         return None;
     };
     let value = own.value.as_ref()?;
     let token = serde_json::from_slice::<Line>(value).ok()?.token?;
     spdlog::info!("recalled token={}", token);
-    shared.state().tenure.set_previous_token(token);
+    shared.state().placer_lease.set_previous_token(token);
     Some(token)
 }
 
@@ -131,11 +131,13 @@
     let now = shared.now();
     let mut state = shared.state();
     state.peers.retain(|name, peer| {
-        let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
+        let is_heard = peer
+            .last_seen
+            .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
         listed.contains(&**name) || (is_restored && is_heard)
     });
-    let is_unlisted =
-        state.listing == Listing::Listed && !listed.contains(&*shared.settings.instance);
+    let is_unlisted = state.instance_list == InstanceListState::Listed
+        && !listed.contains(&*shared.settings.instance);
     drop(state);
     if is_unlisted {
         list_again(shared);
@@ -143,8 +145,8 @@
     take(shared, records);
     spdlog::info!("instances_read count={}", listed.len());
     let mut state = shared.state();
-    if state.listing == Listing::Unread {
-        state.listing = Listing::Read;
+    if state.instance_list == InstanceListState::Unread {
+        state.instance_list = InstanceListState::Read;
     }
 }
 
@@ -156,7 +158,7 @@
         }
         match &record.value {
             Some(_) if record.key == *shared.settings.instance => {
-                shared.state().listing = Listing::Listed;
+                shared.state().instance_list = InstanceListState::Listed;
             }
             None if record.key == *shared.settings.instance => list_again(shared),
             Some(value) => take_line(shared, &record.key, value),
@@ -179,7 +181,7 @@
     }
     let name = record.value.as_deref().unwrap_or_default();
     let is_own = name == shared.settings.instance.as_bytes();
-    shared.state().placed_before = is_own;
+    shared.state().was_placer = is_own;
 }
 
 fn placer_key(domain: &str) -> String {
@@ -204,7 +206,7 @@
         return;
     }
     spdlog::info!("line_lost instance={}", shared.settings.instance);
-    let token = shared.state().tenure.token(shared.now());
+    let token = shared.state().placer_lease.token(shared.now());
     tokio::spawn(enlist(Arc::clone(shared), token));
 }
 
@@ -218,7 +220,7 @@
     };
     let mut state = shared.state();
     // A list that is read as a whole is told by its length: one line each takes a start's processor.
-    if state.listing != Listing::Unread && !state.peers.contains_key(name) {
+    if state.instance_list != InstanceListState::Unread && !state.peers.contains_key(name) {
         spdlog::info!("instance_listed instance={} ip={}", name, line.ip);
     }
     let peer = state.peers.entry(Arc::from(name));
@@ -226,10 +228,10 @@
         ip: line.ip,
         domain: Arc::clone(&line.domain),
         capacity: line.capacity,
-        heard: None,
-        places: None,
+        last_seen: None,
+        placer_token: None,
         waiting: 0,
-        stands: Stands::default(),
+        read_states: ReadStates::default(),
     });
     peer.ip = line.ip;
     peer.domain = line.domain;
--- a/crates/ploverwick_gateway/src/controllers/limits.rs
+++ b/crates/ploverwick_gateway/src/controllers/limits.rs
@@ -12,7 +12,7 @@
 
 use crate::metrics;
 use crate::shared::Shared;
-use crate::state::{Listing, State};
+use crate::state::{InstanceListState, State};
 use crate::tell;
 
 /// Takes in what the head of the answer to the request `id`, which was sent at a moment, says of its
@@ -25,7 +25,7 @@
         answer::Limit::Absent => None,
         answer::Limit::Rate(rate) => Some(Limit::per_second(rate)),
         answer::Limit::Malformed => {
-            if shared.lines.allow(shared.now()) {
+            if shared.log_limiter.allow(shared.now()) {
                 spdlog::warn!("endpoint_limit_malformed endpoint={} id={}", endpoint, id);
             }
             return;
@@ -70,7 +70,7 @@
         log(endpoint, change, &format_args!("instance from={from}"));
     }
     // Who waits for a copy elsewhere may be served where a limit was lifted.
-    shared.placed.notify_waiters();
+    shared.placement_changed.notify_waiters();
 }
 
 /// Gives this instance its part of the limit of one endpoint.
@@ -100,7 +100,7 @@
 
 fn part(shared: &Shared, state: &State, endpoint: &str, limit: Limit, now: Moment) -> Share {
     // Who does not know the others must not take itself for the only one.
-    if state.listing == Listing::Unread {
+    if state.instance_list == InstanceListState::Unread {
         return Share::NONE;
     }
     let Some(entry) = state.fleet.entry(endpoint) else {
--- a/crates/ploverwick_gateway/src/controllers/operator.rs
+++ b/crates/ploverwick_gateway/src/controllers/operator.rs
@@ -35,7 +35,7 @@
     let now = shared.now();
     let mut state = shared.state();
     // A read may bring what another one missed, so that only its last record is as new as the read.
-    let earlier = state.horizon.unread();
+    let earlier = state.watermark.unread();
     let (records, last) = match news {
         News::Past { .. } => return,
         News::ToldWhole { records } => {
@@ -49,16 +49,16 @@
             drop(state);
             return take_told(shared, records, ages);
         }
-        News::Asking => return state.horizon.begin_read(now),
-        News::Away => return state.horizon.fail_read(),
-        News::Whole { records } => (records, state.horizon.finish_full_read()),
+        News::Asking => return state.watermark.begin_read(now),
+        News::Away => return state.watermark.fail_read(),
+        News::Whole { records } => (records, state.watermark.finish_full_read()),
         News::Next {
             records, was_woken, ..
         } => {
             if !was_woken && !records.is_empty() {
-                state.horizon.fail_read();
+                state.watermark.fail_read();
             }
-            (records, state.horizon.finish_tail_read(now))
+            (records, state.watermark.finish_tail_read(now))
         }
     };
     drop(state);
@@ -72,7 +72,7 @@
 /// Takes in what a peer read, each record as old as it can be.
 fn take_told(shared: &Arc<Shared>, records: &[Record], ages: &[Option<Duration>]) {
     for (record, age) in records.iter().zip(ages) {
-        let since = shared.state().horizon.apply_relayed(*age);
+        let since = shared.state().watermark.apply_relayed(*age);
         take_record(shared, record, since);
     }
 }
@@ -116,7 +116,7 @@
     state.config = Some(Arc::clone(&config));
     drop(state);
     show_quotas(&config);
-    shared.orders.notify_waiters();
+    shared.orders_changed.notify_waiters();
 }
 
 fn show_quotas(config: &Config) {
@@ -145,7 +145,7 @@
     let held_older = state.directory.newest_held_below(&copy.key, copy.version);
     drop(state);
     // Requests that were sent for an older version are held to the bound from now on.
-    shared.declared.notify_waiters();
+    shared.version_declared.notify_waiters();
     spdlog::info!(
         "version_declared adapter={} version={} older_held={:?} offset={} at={} since={:?}",
         copy.key,
--- a/crates/ploverwick_gateway/src/controllers/orders.rs
+++ b/crates/ploverwick_gateway/src/controllers/orders.rs
@@ -38,7 +38,7 @@
 pub(crate) async fn keep(shared: Arc<Shared>) {
     let tended: Arc<Mutex<HashSet<Arc<str>>>> = Arc::default();
     loop {
-        let woken = shared.orders.notified();
+        let woken = shared.orders_changed.notified();
         for endpoint in untended(&shared, &tended) {
             let shared = Arc::clone(&shared);
             let tended = Arc::clone(&tended);
@@ -61,7 +61,7 @@
 fn untended(shared: &Shared, tended: &Mutex<HashSet<Arc<str>>>) -> Vec<Arc<str>> {
     let now = shared.now();
     let mut state = shared.state();
-    if state.tenure.token(now).is_none() {
+    if state.placer_lease.token(now).is_none() {
         return Vec::new();
     }
     let Some(config) = state.config.clone() else {
@@ -99,7 +99,7 @@
 async fn tend(shared: &Arc<Shared>, endpoint: &Arc<str>) {
     let mut unanswered = 0;
     loop {
-        let woken = shared.orders.notified();
+        let woken = shared.orders_changed.notified();
         let Some((step, entry, token)) = decide(shared, endpoint) else {
             return;
         };
@@ -124,7 +124,7 @@
 fn decide(shared: &Shared, endpoint: &Arc<str>) -> Option<(Step, Entry, u64)> {
     let now = shared.now();
     let mut state = shared.state();
-    let token = state.tenure.token(now)?;
+    let token = state.placer_lease.token(now)?;
     let entry = state.fleet.entry(endpoint).cloned()?;
     if let Some(wait) = state.pauses.wait(endpoint, now) {
         return Some((Step::Wait(now + wait), entry, token));
@@ -180,7 +180,7 @@
         None => connect(entry.address).await,
     };
     // Connecting takes time in which the right may have ended.
-    let is_held = shared.state().tenure.token(shared.now()) == Some(token);
+    let is_held = shared.state().placer_lease.token(shared.now()) == Some(token);
     let answer = match connection {
         Ok(_) if !is_held => return None,
         Ok(connection) => match exchange(shared, entry, connection, request, limit).await {
@@ -236,7 +236,7 @@
     let mut state = shared.state();
     if answer == Answer::Fenced {
         spdlog::warn!("order_fenced endpoint={} token={}", endpoint, token);
-        state.tenure.handle_fenced(token, now);
+        state.placer_lease.handle_fenced(token, now);
     }
     state.placer.handle_answer(endpoint, order, answer, now)
 }
@@ -327,7 +327,7 @@
             window
         );
     }
-    shared.placed.notify_waiters();
+    shared.placement_changed.notify_waiters();
     tell::changed(shared, endpoint, event);
 }
 
--- a/crates/ploverwick_gateway/src/controllers/pauses.rs
+++ b/crates/ploverwick_gateway/src/controllers/pauses.rs
@@ -14,7 +14,7 @@
         RetryAfter::Absent | RetryAfter::Delay(Duration::ZERO) => return,
         RetryAfter::Delay(pause) => pause,
         RetryAfter::Malformed => {
-            if shared.lines.allow(shared.now()) {
+            if shared.log_limiter.allow(shared.now()) {
                 spdlog::warn!("retry_after_malformed endpoint={} id={}", endpoint, id);
             }
             return;
--- a/crates/ploverwick_gateway/src/controllers/quarantine.rs
+++ b/crates/ploverwick_gateway/src/controllers/quarantine.rs
@@ -44,7 +44,7 @@
             publish(shared, &entry);
         }
         if change != Change::Unchanged {
-            shared.quarantine_news.add(suspect.fingerprint);
+            shared.quarantine_updates.add(suspect.fingerprint);
         }
     }
 }
@@ -66,7 +66,7 @@
         count(shared);
         publish(shared, &entry);
     }
-    shared.quarantine_news.add(*fingerprint);
+    shared.quarantine_updates.add(*fingerprint);
 }
 
 /// Takes in what another instance tells, or the store; `source` says who, for the log.
--- a/crates/ploverwick_gateway/src/controllers/quotas.rs
+++ b/crates/ploverwick_gateway/src/controllers/quotas.rs
@@ -9,10 +9,10 @@
 use ploverwick_routes::Config;
 use tokio::time::Instant;
 
-use crate::mail::{Message, Question};
+use crate::messages::{Message, QueryId};
 use crate::metrics;
 use crate::shared::Shared;
-use crate::state::{Listing, State};
+use crate::state::{InstanceListState, State};
 
 /// How often an instance looks whether an organisation has a quota.
 const IDLE: Duration = Duration::from_millis(250);
@@ -49,7 +49,7 @@
         let due = shared.state().allocation.due();
         tokio::select! {
             () = tokio::time::sleep_until(shared.clock.instant(due)) => {}
-            () = shared.quota_wanted.notified() => {}
+            () = shared.quota_requested.notified() => {}
         }
         tokio::time::sleep_until(told + GAP).await;
     }
@@ -74,7 +74,7 @@
         return false;
     };
     *fleet = Fleet {
-        pools: state.by_place(&shared.settings),
+        pools: state.ranked_instances(&shared.settings),
         sharers,
         at: Some(now),
     };
@@ -85,14 +85,14 @@
 /// Returns how many instances share the quotas. One that is not on the list yet, which takes up to 1.6 s,
 /// counts itself beside those that are.
 fn sharers(shared: &Shared, state: &State) -> Option<usize> {
-    let listed = shared.listed(state);
-    let known = (state.listing != Listing::Unread).then_some(state.peers.len() + 1);
+    let listed = shared.max_instances(state);
+    let known = (state.instance_list != InstanceListState::Unread).then_some(state.peers.len() + 1);
     listed.max(known)
 }
 
 fn tell(shared: &Shared, fleet: &Fleet) {
     let now = shared.now();
-    let question = shared.question(now);
+    let query_id = shared.query_id(now);
     let own = IpAddr::from(shared.settings.ip);
     let told = shared
         .state()
@@ -101,20 +101,20 @@
     for (to, lease) in told {
         if to == own {
             let granted = take_in(shared, own, &lease);
-            given(shared, own, question, &granted);
+            given(shared, own, query_id, &granted);
         } else {
             shared
-                .mail
-                .send(&Message::QuotaLease { question, lease }, &[to]);
+                .peer_socket
+                .send(&Message::QuotaLease { query_id, lease }, &[to]);
         }
     }
 }
 
 /// Takes in what another instance lends and asks for, and answers.
-pub(crate) fn lent(shared: &Shared, from: IpAddr, question: Question, lease: &Lease) {
+pub(crate) fn lent(shared: &Shared, from: IpAddr, query_id: QueryId, lease: &Lease) {
     let grants = take_in(shared, from, lease);
-    let answer = Message::QuotaGrants { question, grants };
-    shared.mail.send(&answer, &[from]);
+    let answer = Message::QuotaGrants { query_id, grants };
+    shared.peer_socket.send(&answer, &[from]);
 }
 
 fn take_in(shared: &Shared, from: IpAddr, lease: &Lease) -> Vec<Grant> {
@@ -145,19 +145,19 @@
 }
 
 /// Takes in what a pool grants.
-pub(crate) fn given(shared: &Shared, from: IpAddr, question: Question, grants: &[Grant]) {
-    if !shared.asked(question) {
+pub(crate) fn given(shared: &Shared, from: IpAddr, query_id: QueryId, grants: &[Grant]) {
+    if !shared.is_own_query(query_id) {
         return;
     }
     let now = shared.now();
     let mut state = shared.state();
     state
         .allocation
-        .handle_grants(from, question.at, grants, now);
+        .handle_grants(from, query_id.sent_at, grants, now);
     let has_urgent = state.allocation.has_urgent();
     drop(state);
-    shared.quota_settled.notify_waiters();
+    shared.quota_decided.notify_waiters();
     if has_urgent {
-        shared.quota_wanted.notify_one();
+        shared.quota_requested.notify_one();
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/roster.rs
@@ -11,8 +11,8 @@
 
 use super::feed::{self, Feed, News};
 use super::{starting, until_back};
-use crate::handover::{Given, Wanted};
-use crate::journal::Outage;
+use crate::handover::{SnapshotRequest, SnapshotResponse};
+use crate::logging::Outage;
 use crate::shared::Shared;
 use crate::state::State;
 use crate::tell;
@@ -53,12 +53,14 @@
 fn is_told(shared: &Shared) -> bool {
     let now = shared.now();
     let state = shared.state();
-    if state.tenure.is_held(now) {
+    if state.placer_lease.is_held(now) {
         return false;
     }
     let turns = state.rank(&shared.settings, now).min(MOST_TURNS);
     let limit = TOLD + TURN * u32::try_from(turns).unwrap_or_default();
-    state.roster_told.is_some_and(|at| now.since(at) < limit)
+    state
+        .roster_confirmed_at
+        .is_some_and(|at| now.since(at) < limit)
 }
 
 /// Follows the list for as long as the process runs.
@@ -78,7 +80,7 @@
         past: PAST,
     };
     ask_peers(&shared).await;
-    let mut outage = Outage::of(feed.what);
+    let mut outage = Outage::new(feed.what);
     let mut next: Option<Position> = None;
     loop {
         if is_told(&shared) {
@@ -91,8 +93,8 @@
         match feed::read(&shared, &feed, next, feed.wait, &mut take).await {
             Ok(end) => {
                 next = Some(end);
-                outage.works();
-                shared.store_away.send_replace(false);
+                outage.record_success();
+                shared.store_unavailable.send_replace(false);
                 tokio::time::sleep(feed.pause).await;
             }
             Err(Error::Expired) => {
@@ -110,9 +112,9 @@
                 next = None;
             }
             Err(error) => {
-                outage.fails(&error);
+                outage.record_failure(&error);
                 follower.absences.record_store_failure();
-                shared.store_away.send_replace(true);
+                shared.store_unavailable.send_replace(true);
                 if shared.state().has_roster {
                     until_back(&shared).await;
                 } else {
@@ -181,8 +183,8 @@
                 None => self.leave(&record.key),
             }
         }
-        self.shared.orders.notify_waiters();
-        self.shared.placed.notify_waiters();
+        self.shared.orders_changed.notify_waiters();
+        self.shared.placement_changed.notify_waiters();
     }
 
     fn put(&mut self, instance: &str, value: &[u8]) {
@@ -216,7 +218,7 @@
 
     /// Logs another writer's entry, which names no endpoint; what is known of the others holds.
     fn pass_over(&self, instance: &str, error: &roster::Error) {
-        if self.shared.lines.allow(self.shared.now()) {
+        if self.shared.log_limiter.allow(self.shared.now()) {
             spdlog::warn!(
                 "endpoint_malformed endpoint={} cause=\"{}\"",
                 instance,
@@ -276,18 +278,18 @@
     let mut state = shared.state();
     // A list that was never read, or a lost message, is mended by a read of one's own.
     if state.has_roster && state.fleet.digest() == digest {
-        state.roster_told = Some(now);
+        state.roster_confirmed_at = Some(now);
     }
     drop(state);
-    shared.orders.notify_waiters();
-    shared.placed.notify_waiters();
+    shared.orders_changed.notify_waiters();
+    shared.placement_changed.notify_waiters();
 }
 
 /// Asks peers for the list; one that the store is to be asked for comes a moment later.
 async fn ask_peers(shared: &Shared) {
-    match starting::ask(shared, Wanted::List).await {
-        Some(Given::List(entries)) => take_whole(shared, entries),
-        Some(Given::Topic(_) | Given::Later) => {}
+    match starting::ask(shared, SnapshotRequest::List).await {
+        Some(SnapshotResponse::List(entries)) => take_whole(shared, entries),
+        Some(SnapshotResponse::Topic(_) | SnapshotResponse::NotReady) => {}
         None => tokio::time::sleep(LOOK).await,
     }
 }
@@ -305,10 +307,10 @@
     }
     let mut state = shared.state();
     state.has_roster = true;
-    state.roster_told = Some(now);
+    state.roster_confirmed_at = Some(now);
     drop(state);
-    shared.orders.notify_waiters();
-    shared.placed.notify_waiters();
+    shared.orders_changed.notify_waiters();
+    shared.placement_changed.notify_waiters();
 }
 
 /// Returns a line without the adapters, of which placers tell by themselves.
@@ -323,7 +325,7 @@
 
 /// Lists the lives of an endpoint that are known; one, but for a moment after it started again.
 fn lives(shared: &Shared, instance: &str) -> Vec<Arc<str>> {
-    shared.state().lives.of(instance).to_vec()
+    shared.state().incarnations.of(instance).to_vec()
 }
 
 fn heartbeat(entry: &Entry) -> Heartbeat {
@@ -340,7 +342,7 @@
     }
     let id = Arc::clone(&entry.id);
     let before = state.fleet.entry(&id).map(|entry| entry.state);
-    state.lives.add(&id);
+    state.incarnations.add(&id);
     state.fleet.put(entry);
     let entry = state.fleet.entry(&id).expect("the entry was just added");
     // A list that is read as a whole is told by its length: one line each takes a start's processor.
@@ -361,7 +363,7 @@
 
 /// Returns whether a later life of an endpoint is known: a peer's late word may be of an earlier one.
 fn is_over(state: &State, entry: &Entry) -> bool {
-    let lives = state.lives.of(roster::platform_id(&entry.id)).iter();
+    let lives = state.incarnations.of(roster::platform_id(&entry.id)).iter();
     let mut lives = lives.filter_map(|id| state.fleet.entry(id));
     lives.any(|other| other.born > entry.born)
 }
@@ -374,7 +376,7 @@
     state.limits.remove(id);
     state.pauses.remove(id);
     state.departures.remove(id);
-    state.lives.remove(id);
+    state.incarnations.remove(id);
     state.directory.remove(id);
     state.placer.remove(id);
     drop(state);
--- a/crates/ploverwick_gateway/src/controllers/starting.rs
+++ b/crates/ploverwick_gateway/src/controllers/starting.rs
@@ -6,9 +6,9 @@
 use anyhow::Result;
 use tokio::time::Instant;
 
-use crate::handover::{self, Given, Wanted};
+use crate::handover::{self, SnapshotRequest, SnapshotResponse};
 use crate::shared::Shared;
-use crate::state::{Listing, place};
+use crate::state::{InstanceListState, own_candidate};
 use crate::topics::Topic;
 
 /// How long an instance that starts waits for the list of instances, from which it knows whom to ask. The
@@ -33,8 +33,8 @@
 
 /// Asks peers; `None` if this instance is to read from the store by itself: it is among the first, which
 /// the others ask, or those cannot be reached. Where the store cannot be read, any peer is asked.
-pub(super) async fn ask(shared: &Shared, wanted: Wanted) -> Option<Given> {
-    if wanted == Wanted::Topic(Topic::Instances) {
+pub(super) async fn ask(shared: &Shared, wanted: SnapshotRequest) -> Option<SnapshotResponse> {
+    if wanted == SnapshotRequest::Topic(Topic::Instances) {
         // Without the list there is nobody to ask.
         return None;
     }
@@ -49,7 +49,7 @@
         let mut is_starting = false;
         for peer in &peers {
             match question(shared, *peer, wanted).await {
-                Ok(Given::Later) => is_starting = true,
+                Ok(SnapshotResponse::NotReady) => is_starting = true,
                 Ok(given) => {
                     spdlog::info!("start_told what={:?} by={}", wanted, peer);
                     return Some(given);
@@ -68,8 +68,12 @@
     None
 }
 
-async fn question(shared: &Shared, peer: IpAddr, wanted: Wanted) -> Result<Given> {
-    let asked = handover::ask(peer, shared.settings.peer_port, wanted);
+async fn question(
+    shared: &Shared,
+    peer: IpAddr,
+    wanted: SnapshotRequest,
+) -> Result<SnapshotResponse> {
+    let asked = handover::fetch(peer, shared.settings.peer_port, wanted);
     tokio::time::timeout(ANSWER, asked).await?
 }
 
@@ -90,19 +94,19 @@
     };
     let until = Instant::now() + limit;
     // Peers that know this instance from an earlier life make themselves known meanwhile.
-    while shared.state().listing == Listing::Unread && Instant::now() < until {
+    while shared.state().instance_list == InstanceListState::Unread && Instant::now() < until {
         tokio::time::sleep(LOOK).await;
     }
-    let is_away = *shared.store_away.borrow();
+    let is_away = *shared.store_unavailable.borrow();
     let state = shared.state();
     let near = state.peers.iter();
     let near = near.filter(|(_, peer)| peer.domain == settings.domain);
     let mut near: Vec<_> = near
-        .map(|(name, peer)| (peer.place(name), peer.ip))
+        .map(|(name, peer)| (peer.candidate(name), peer.ip))
         .collect();
     near.sort_by(|(a, _), (b, _)| b.precedes(*a).cmp(&a.precedes(*b)));
     near.truncate(ASKED);
-    let own = place(settings);
+    let own = own_candidate(settings);
     let is_first = near.len() < ASKED || near.iter().any(|(peer, _)| own.precedes(*peer));
     if is_first && !is_away {
         return Vec::new();
--- a/crates/ploverwick_gateway/src/controllers/tenure.rs
+++ b/crates/ploverwick_gateway/src/controllers/tenure.rs
@@ -8,8 +8,8 @@
 use ploverwick_platform::placer_group;
 
 use super::{Backoff, instances};
-use crate::journal::Outage;
-use crate::shared::{STANDBYS, Shared, TENURE};
+use crate::logging::Outage;
+use crate::shared::{MAX_STANDBYS, PLACER_LEASE_DURATION, Shared};
 use crate::tell;
 
 /// The pause between renewals; three fit into a grant.
@@ -27,8 +27,8 @@
 pub(crate) async fn keep(shared: Arc<Shared>) {
     let group = placer_group(&shared.settings.domain);
     let member = Arc::clone(&shared.settings.instance);
-    let ttl = TENURE.max(shared.settings.shortest_ttl);
-    let mut outage = Outage::of("placer group");
+    let ttl = PLACER_LEASE_DURATION.max(shared.settings.shortest_ttl);
+    let mut outage = Outage::new("placer group");
     let mut backoff = Backoff::new();
     let mut generation = 0;
     let mut era = 0;
@@ -59,7 +59,7 @@
         let asked = shared.now();
         match shared.store.join(&group, &member, ttl, generation).await {
             Ok(membership) => {
-                outage.works();
+                outage.record_success();
                 backoff.reset();
                 generation = membership.generation;
                 let grant = if membership.is_leader {
@@ -72,18 +72,18 @@
                 if token.is_some() && token != written {
                     written = token;
                     tokio::spawn(instances::name_placer(Arc::clone(&shared)));
-                    if shared.keeps_token {
+                    if shared.persists_token {
                         tokio::spawn(instances::enlist(Arc::clone(&shared), token));
                     }
                 }
                 tokio::select! {
                     () = tokio::time::sleep(RENEWAL) => {}
-                    () = shared.vacant.notified() => {}
+                    () = shared.lease_released.notified() => {}
                     _ = stopping.changed() => {}
                 }
             }
             Err(error) => {
-                outage.fails(&error);
+                outage.record_failure(&error);
                 backoff.pause(&shared).await;
             }
         }
@@ -97,29 +97,29 @@
     let now = shared.now();
     let state = shared.state();
     let domain = &shared.settings.domain;
-    if state.tenure.is_held(now) || state.placer_of(domain, now).is_some() {
+    if state.placer_lease.is_held(now) || state.placer_of(domain, now).is_some() {
         *seen = now;
     }
-    if state.tenure.is_held(now) || now.since(*seen) > VACANT {
+    if state.placer_lease.is_held(now) || now.since(*seen) > VACANT {
         return true;
     }
-    if now < HEARING && state.placed_before {
+    if now < HEARING && state.was_placer {
         return true;
     }
     if now < HEARING {
         return state
             .listed_rank(&shared.settings)
-            .is_some_and(|rank| rank < STANDBYS);
+            .is_some_and(|rank| rank < MAX_STANDBYS);
     }
-    state.rank(&shared.settings, now) < STANDBYS
+    state.rank(&shared.settings, now) < MAX_STANDBYS
 }
 
 fn take(shared: &Shared, grant: Grant, asked: Moment) {
     let now = shared.now();
     let mut state = shared.state();
-    let was_held = state.tenure.is_held(now);
-    state.tenure.handle_grant(grant, asked, now);
-    let is_held = state.tenure.is_held(now);
+    let was_held = state.placer_lease.is_held(now);
+    state.placer_lease.handle_grant(grant, asked, now);
+    let is_held = state.placer_lease.is_held(now);
     if was_held == is_held {
         return;
     }
@@ -127,13 +127,13 @@
     state.placer.clear();
     drop(state);
     spdlog::info!("tenure held={} grant={:?}", is_held, grant);
-    shared.orders.notify_waiters();
+    shared.orders_changed.notify_waiters();
 }
 
 fn lose(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state();
-    state.tenure.release(now);
+    state.placer_lease.release(now);
     state.placer.clear();
 }
 
--- a/crates/ploverwick_gateway/src/controllers/topic.rs
+++ b/crates/ploverwick_gateway/src/controllers/topic.rs
@@ -10,12 +10,12 @@
 
 use super::feed::{self, News};
 use super::{Backoff, starting, until_back};
-use crate::handover::{Given, Wanted};
-use crate::journal::Outage;
+use crate::handover::{SnapshotRequest, SnapshotResponse};
+use crate::logging::Outage;
 use crate::metrics;
 use crate::shared::Shared;
 use crate::tell;
-use crate::topics::{Batch, Stand, Told, Topic, Whole};
+use crate::topics::{Batch, ReadState, RelayedRecord, Topic, TopicSnapshot};
 
 /// The topic that asks again and again while the store is away; the others wait for it.
 const PROBE: Topic = Topic::Operator;
@@ -46,7 +46,7 @@
     feed: feed::Feed<'_>,
     take: impl FnMut(News<'_>),
 ) {
-    let mut outage = Outage::of(feed.what);
+    let mut outage = Outage::new(feed.what);
     let mut backoff = Backoff::new();
     let mut follower = Follower {
         shared,
@@ -61,9 +61,9 @@
         match follower.next().await {
             Ok(Done::Rested) => {}
             Ok(Done::Read) => {
-                outage.works();
+                outage.record_success();
                 backoff.reset();
-                shared.store_away.send_replace(false);
+                shared.store_unavailable.send_replace(false);
             }
             Err(Error::Expired) => {
                 spdlog::info!("history_lost topic={}", feed.topic);
@@ -78,9 +78,9 @@
                 follower.place.reset();
             }
             Err(error) => {
-                outage.fails(&error);
+                outage.record_failure(&error);
                 follower.fail();
-                shared.store_away.send_replace(true);
+                shared.store_unavailable.send_replace(true);
                 if topic == PROBE {
                     backoff.pause(shared).await;
                 } else {
@@ -103,7 +103,7 @@
         self.hear();
         let inbox = self.shared.inboxes.of(self.topic);
         self.place.observe_end(*inbox.end.borrow(), now);
-        let circle = self.shared.circle(self.topic);
+        let circle = self.shared.role(self.topic);
         match self.place.step(circle, now) {
             Step::Idle { until } => {
                 if circle != Role::Reader && !self.has_failed {
@@ -118,8 +118,10 @@
             }
             Step::ReadAll if self.asks_peers => {
                 self.asks_peers = false;
-                let wanted = Wanted::Topic(self.topic);
-                if let Some(Given::Topic(whole)) = starting::ask(self.shared, wanted).await {
+                let wanted = SnapshotRequest::Topic(self.topic);
+                if let Some(SnapshotResponse::Topic(whole)) =
+                    starting::ask(self.shared, wanted).await
+                {
                     self.take_whole(whole);
                 }
                 Ok(Done::Rested)
@@ -140,7 +142,7 @@
     /// Reads once; `from` is `None` for the whole topic.
     async fn read(&mut self, from: Option<Position>, wait: Duration) -> Result<Done, Error> {
         let (shared, topic) = (self.shared, self.topic);
-        let is_reader = shared.circle(topic) == Role::Reader;
+        let is_reader = shared.role(topic) == Role::Reader;
         let asked = shared.now();
         self.place.start_read(asked);
         if !wait.is_zero() {
@@ -148,18 +150,18 @@
         }
         let hear = &mut self.take;
         let mut take = |news: News<'_>| {
-            let earlier = shared.state().horizon.unread();
+            let earlier = shared.state().watermark.unread();
             hear(news);
             match news {
-                News::Whole { records } => shared.inboxes.of(topic).keep(records, true),
-                News::Next { records, .. } => shared.inboxes.of(topic).keep(records, false),
+                News::Whole { records } => shared.inboxes.of(topic).cache(records, true),
+                News::Next { records, .. } => shared.inboxes.of(topic).cache(records, false),
                 News::Asking
                 | News::Past { .. }
                 | News::Told { .. }
                 | News::ToldWhole { .. }
                 | News::Away => {}
             }
-            let last = shared.state().horizon.last_read();
+            let last = shared.state().watermark.last_read();
             if let (News::Next { records, end, .. }, Some(from), true) = (news, from, is_reader)
                 && end > from
             {
@@ -173,7 +175,7 @@
             let statement = Proof::new(next, asked);
             shared.state().freshness.add_proof(statement);
         }
-        shared.inboxes.of(topic).correct(next);
+        shared.inboxes.of(topic).truncate_end(next);
         self.has_failed = false;
         self.stand(if is_reader {
             Reading::Reads
@@ -205,16 +207,16 @@
     }
 
     /// Takes in the newest records as a peer has them.
-    fn take_whole(&mut self, whole: Whole) {
+    fn take_whole(&mut self, whole: TopicSnapshot) {
         if whole.end.era < self.shared.store.era() {
             // The peer read these records before the store was restored.
             return;
         }
         let records: Vec<Record> = whole.records.into_iter().map(record).collect();
         (self.take)(News::ToldWhole { records: &records });
-        self.shared.inboxes.of(self.topic).keep(&records, true);
+        self.shared.inboxes.of(self.topic).cache(&records, true);
         let age = whole.age_ms.map(Duration::from_millis);
-        self.shared.state().horizon.apply_relayed(age);
+        self.shared.state().watermark.apply_relayed(age);
         self.place.finish_read(whole.end);
         self.stand(Reading::Rests);
     }
@@ -226,7 +228,7 @@
             .map(|told| told.age_ms.map(Duration::from_millis));
         let ages: Vec<Option<Duration>> = ages.collect();
         let records: Vec<Record> = records.into_iter().map(record).collect();
-        self.shared.inboxes.of(self.topic).keep(&records, false);
+        self.shared.inboxes.of(self.topic).cache(&records, false);
         (self.take)(News::Told {
             records: &records,
             ages: &ages,
@@ -246,10 +248,10 @@
     /// Says where this instance stands, for its next messages.
     fn stand(&self, reading: Reading) {
         let end = self.place.next().unwrap_or_default();
-        let stand = Stand { end, reading };
+        let stand = ReadState { end, reading };
         let mut state = self.shared.state();
-        let before = state.stands.of(self.topic);
-        state.stands.set(self.topic, stand);
+        let before = state.read_states.of(self.topic);
+        state.read_states.set(self.topic, stand);
         if self.topic == Topic::Operator {
             state.freshness.advance(end);
         }
@@ -269,7 +271,7 @@
     }
 }
 
-fn record(told: Told) -> Record {
+fn record(told: RelayedRecord) -> Record {
     Record {
         key: told.key,
         value: told.value.map(Into::into),
@@ -279,18 +281,21 @@
 
 /// Returns records with the longest time for which each can have been there: only the last one may have
 /// woken a read that waited for it.
-fn dated(shared: &Shared, records: &[Record], earlier: Since, last: Since) -> Vec<Told> {
+fn dated(shared: &Shared, records: &[Record], earlier: Since, last: Since) -> Vec<RelayedRecord> {
     let now = shared.now();
     let age = |since: Since| match since {
         Since::LongAgo => None,
         Since::NotBefore(at) => u64::try_from(now.since(at).as_millis()).ok(),
     };
     let count = records.len();
-    let told = records.iter().enumerate().map(|(index, record)| Told {
-        key: record.key.clone(),
-        value: record.value.as_ref().map(|value| value.to_vec()),
-        offset: record.offset,
-        age_ms: age(if index + 1 == count { last } else { earlier }),
-    });
+    let told = records
+        .iter()
+        .enumerate()
+        .map(|(index, record)| RelayedRecord {
+            key: record.key.clone(),
+            value: record.value.as_ref().map(|value| value.to_vec()),
+            offset: record.offset,
+            age_ms: age(if index + 1 == count { last } else { earlier }),
+        });
     told.collect()
 }
--- a/crates/ploverwick_gateway/src/daemon.rs
+++ b/crates/ploverwick_gateway/src/daemon.rs
@@ -13,8 +13,8 @@
 use crate::controllers::{
     freshness, instances, operator, orders, quarantine, quotas, roster, table, tenure,
 };
-use crate::front::{self, Open};
-use crate::mail::Mail;
+use crate::front::{self, OpenConnections};
+use crate::messages::PeerSocket;
 use crate::shared::Shared;
 use crate::{handover, listen, ready, tell};
 
@@ -47,7 +47,9 @@
         let front = bind(settings.front, "front").await?;
         let ready = bind(settings.ready, "ready").await?;
         let mail = (settings.ip, settings.peer_port).into();
-        let mail = Mail::open(mail).await.context("open the peers' socket")?;
+        let mail = PeerSocket::open(mail)
+            .await
+            .context("open the peers' socket")?;
         // Peers that start read from the store if they cannot ask here.
         let handover = bind((settings.ip, settings.peer_port).into(), "handover").await;
         let handover = handover.map_err(|error| spdlog::warn!("no_handover cause=\"{:#}\"", error));
@@ -85,7 +87,7 @@
     /// Serves until `stop` is done, then stops without cutting anybody off.
     pub async fn serve(self, stop: impl Future<Output = ()>) {
         let shared = self.shared;
-        let open = Arc::new(Open::default());
+        let open = Arc::new(OpenConnections::default());
         let mut tasks = JoinSet::new();
         tasks.spawn(operator::follow(Arc::clone(&shared)));
         tasks.spawn(roster::follow(Arc::clone(&shared)));
@@ -138,7 +140,7 @@
 }
 
 /// Stops: takes no new work once the platform knows, and waits for what is under way.
-async fn leave(shared: &Arc<Shared>, open: &Open) {
+async fn leave(shared: &Arc<Shared>, open: &OpenConnections) {
     let asked = shared.now();
     spdlog::info!("stop_asked open={}", open.count());
     shared.stopping.send_replace(true);
@@ -163,7 +165,7 @@
 
 /// Lists this instance and joins its group, once what an earlier life wrote was read.
 async fn join(shared: Arc<Shared>) {
-    let token = if shared.keeps_token && !shared.settings.first_start {
+    let token = if shared.persists_token && !shared.settings.first_start {
         instances::recall(&shared).await
     } else {
         None
--- a/crates/ploverwick_gateway/src/filters/attempt.rs
+++ b/crates/ploverwick_gateway/src/filters/attempt.rs
@@ -103,7 +103,7 @@
             Ok(target) => target,
             Err(reply) => return give_up(shared, &task, history, reply),
         };
-        if history.sent > 0 && !shared.may_repeat(&task.call.id, &task.service) {
+        if history.sent > 0 && !shared.may_retry(&task.call.id, &task.service) {
             let reply = Reply::new(Code::EndpointRefused, "No repeat is left in the budget.");
             return give_up(shared, &task, history, reply.retry_after(REFUSED));
         }
@@ -265,7 +265,7 @@
     } else {
         Reply::new(Code::Interrupted, reply.detail)
     };
-    if shared.lines.allow(shared.now()) {
+    if shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "request_failed id={} route={} service={} config={} adapter={} sent={} runs={} refusals={} except={:?} {} code={} detail=\"{}\" left_ms={} placing_ms={} in_vain_ms={} ms={}",
             task.call.id,
@@ -307,7 +307,7 @@
     status: StatusCode,
     state: EndpointState,
 ) {
-    if shared.lines.allow(shared.now()) {
+    if shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "request_answered id={} route={} config={} adapter={} {} endpoint={} domain={} cost={:.1} prompt={} load={} reading={} limit={:?} state={:?} sent={} status={} placing_ms={} in_vain_ms={} answering_ms={} ms={}",
             task.call.id,
--- a/crates/ploverwick_gateway/src/filters/flight.rs
+++ b/crates/ploverwick_gateway/src/filters/flight.rs
@@ -37,7 +37,7 @@
             metrics::limited_send();
         }
         if let Some(copy) = &copy {
-            state.count_use(endpoint, copy, true);
+            state.record_use(endpoint, copy, true);
         }
         drop(state);
         Self {
@@ -73,7 +73,7 @@
         state.fleet.record_prompt_read(&self.endpoint, self.reading);
         state.fleet.record_ended(&self.endpoint, self.outcome, now);
         if let Some(copy) = &self.copy {
-            state.count_use(&self.endpoint, copy, false);
+            state.record_use(&self.endpoint, copy, false);
         }
     }
 }
--- a/crates/ploverwick_gateway/src/filters/identify.rs
+++ b/crates/ploverwick_gateway/src/filters/identify.rs
@@ -128,7 +128,7 @@
 fn refused(shared: &Shared, id: &str, route: &str, version: u64, cause: &'static str) {
     metrics::key_refused(cause);
     let now = shared.now();
-    if !shared.lines.allow(now) {
+    if !shared.log_limiter.allow(now) {
         return;
     }
     let age = shared.state().freshness.age(now);
--- a/crates/ploverwick_gateway/src/filters/place.rs
+++ b/crates/ploverwick_gateway/src/filters/place.rs
@@ -71,7 +71,7 @@
     let until = started + patience.mul_f64(WAIT_SHARE);
     let mut asks = 0;
     loop {
-        let placed = shared.placed.notified();
+        let placed = shared.placement_changed.notified();
         let (choice, wanted) = look(shared, task, key, except);
         match choice {
             Choice::Go(target) => {
--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -20,7 +20,7 @@
     }
     metrics::fatal_refused();
     let fingerprint = task.fingerprint();
-    if shared.lines.allow(shared.now()) {
+    if shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "request_refused id={} fingerprint={} route={} service={}",
             task.call.id,
--- a/crates/ploverwick_gateway/src/filters/quota.rs
+++ b/crates/ploverwick_gateway/src/filters/quota.rs
@@ -143,9 +143,9 @@
         organisation,
         ticket,
     };
-    shared.quota_wanted.notify_one();
+    shared.quota_requested.notify_one();
     loop {
-        let settled = shared.quota_settled.notified();
+        let settled = shared.quota_decided.notified();
         let claim = shared
             .state()
             .allocation
@@ -169,7 +169,7 @@
     };
     metrics::quota_refused(&organisation.name, code);
     let now = shared.now();
-    if shared.lines.allow(now) {
+    if shared.log_limiter.allow(now) {
         let pool = shared.state().allocation.pool();
         spdlog::info!(
             "request_over_quota id={} organisation={} cost={} quota={:?} room_in={:?} pool={:?} code={}",
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -211,7 +211,7 @@
     }
 
     fn broken(&self, cause: &str) -> Broken {
-        if self.shared.lines.allow(self.shared.now()) {
+        if self.shared.log_limiter.allow(self.shared.now()) {
             spdlog::info!(
                 "stream_broken id={} route={} sent={} endpoints={:?} cause=\"{}\" left_ms={} ms={}",
                 self.task.call.id,
@@ -237,7 +237,7 @@
             && quarantine::may_repeat(&self.shared, &self.task)
             && self
                 .shared
-                .may_repeat(&self.task.call.id, &self.task.service)
+                .may_retry(&self.task.call.id, &self.task.service)
         {
             let target = match place::run(&self.shared, &self.task, &self.tried).await {
                 Ok(target) => target,
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -138,7 +138,7 @@
     let source = format_args!("answer id={}", task.call.id);
     draining::answered(shared, endpoint, head.state, &source);
     pauses::answered(shared, endpoint, &task.call.id, head.retry_after);
-    if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.lines.allow(shared.now()) {
+    if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "send_refused id={} endpoint={} statement={:?} retry_after={:?}",
             task.call.id,
@@ -239,7 +239,7 @@
     };
     tokio::pin!(answer);
     loop {
-        let declared = shared.declared.notified();
+        let declared = shared.version_declared.notified();
         let begin_by = place::begin_by(shared, copy).unwrap_or(limit);
         tokio::select! {
             got = &mut answer => return Some(got),
--- a/crates/ploverwick_gateway/src/front.rs
+++ b/crates/ploverwick_gateway/src/front.rs
@@ -29,9 +29,9 @@
 
 /// The connections that are open.
 #[derive(Debug, Default)]
-pub(crate) struct Open(AtomicUsize);
+pub(crate) struct OpenConnections(AtomicUsize);
 
-impl Open {
+impl OpenConnections {
     pub(crate) fn count(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -46,7 +46,7 @@
 /// Takes connections until the process stops.
 ///
 /// Where it can take no more it says that it is not ready, so that clients are sent elsewhere.
-pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener, open: Arc<Open>) {
+pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener, open: Arc<OpenConnections>) {
     let most = most_open(&shared.settings);
     let mut stopping = shared.stopping.subscribe();
     let stopped = async {
@@ -65,11 +65,11 @@
                 let shared = Arc::clone(&shared);
                 let open = Arc::clone(&open);
                 open.0.fetch_add(1, Ordering::Relaxed);
-                shared.takes_connections(open.count() < most);
+                shared.set_accepting(open.count() < most);
                 tokio::spawn(async move {
                     attend(Arc::clone(&shared), stream).await;
                     open.0.fetch_sub(1, Ordering::Relaxed);
-                    shared.takes_connections(true);
+                    shared.set_accepting(true);
                 });
             }
             // Closing unread is the one refusal that any client may repeat.
@@ -79,9 +79,9 @@
             }
             Err(error) => {
                 spdlog::warn!("accept_failed on=front cause=\"{}\"", error);
-                shared.takes_connections(false);
+                shared.set_accepting(false);
                 tokio::time::sleep(ACCEPT_AGAIN).await;
-                shared.takes_connections(true);
+                shared.set_accepting(true);
             }
         }
     }
--- a/crates/ploverwick_gateway/src/handover.rs
+++ b/crates/ploverwick_gateway/src/handover.rs
@@ -18,20 +18,20 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::shared::Shared;
-use crate::topics::{Topic, Whole};
+use crate::topics::{Topic, TopicSnapshot};
 
 /// The longest question, in bytes.
-const QUESTION: usize = 8;
+const MAX_REQUEST_BYTES: usize = 8;
 /// How long a question may take to arrive.
-const PATIENCE: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// The bytes before an answer's own that say how long it is once it is unpacked.
-const LENGTH: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 /// The most bytes of an answer once it is unpacked.
-const LONGEST: u32 = 8 * 1_024 * 1_024;
+const MAX_RESPONSE_BYTES: u32 = 8 * 1_024 * 1_024;
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Wanted {
+pub(crate) enum SnapshotRequest {
     /// The newest records of a topic.
     Topic(Topic),
     /// The list of endpoints.
@@ -40,13 +40,13 @@
 
 /// What is answered.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Given {
+pub(crate) enum SnapshotResponse {
     /// The newest records of a topic.
-    Topic(Whole),
+    Topic(TopicSnapshot),
     /// The list of endpoints.
     List(Vec<Entry>),
     /// The peer has started itself and does not know it yet.
-    Later,
+    NotReady,
 }
 
 /// Answers questions for as long as the process runs.
@@ -63,16 +63,16 @@
             }
             Err(error) => {
                 spdlog::warn!("accept_failed on=handover cause=\"{}\"", error);
-                tokio::time::sleep(PATIENCE).await;
+                tokio::time::sleep(REQUEST_TIMEOUT).await;
             }
         }
     }
 }
 
 async fn answer(shared: &Shared, mut stream: TcpStream) -> Result<()> {
-    let mut question = [0; QUESTION];
+    let mut question = [0; MAX_REQUEST_BYTES];
     let read = stream.read(&mut question);
-    let length = tokio::time::timeout(PATIENCE, read).await??;
+    let length = tokio::time::timeout(REQUEST_TIMEOUT, read).await??;
     let wanted = postcard::from_bytes(&question[..length]).context("read the question")?;
     let given = postcard::to_stdvec(&given(shared, wanted))?;
     let packed = lz4_flex::compress_prepend_size(&given);
@@ -81,25 +81,25 @@
     Ok(())
 }
 
-fn given(shared: &Shared, wanted: Wanted) -> Given {
+fn given(shared: &Shared, wanted: SnapshotRequest) -> SnapshotResponse {
     let given = match wanted {
-        Wanted::Topic(topic) => whole(shared, topic).map(Given::Topic),
-        Wanted::List => shared.state().whole_list().map(Given::List),
+        SnapshotRequest::Topic(topic) => whole(shared, topic).map(SnapshotResponse::Topic),
+        SnapshotRequest::List => shared.state().roster_snapshot().map(SnapshotResponse::List),
     };
-    given.unwrap_or(Given::Later)
+    given.unwrap_or(SnapshotResponse::NotReady)
 }
 
 /// Returns the newest records of a topic, if this instance has them and still follows it.
-fn whole(shared: &Shared, topic: Topic) -> Option<Whole> {
+fn whole(shared: &Shared, topic: Topic) -> Option<TopicSnapshot> {
     let now = shared.now();
     let state = shared.state();
-    let stand = state.stands.of(topic);
-    let unseen = state.horizon.unread();
+    let stand = state.read_states.of(topic);
+    let unseen = state.watermark.unread();
     drop(state);
     if stand.reading == Reading::Fails {
         return None;
     }
-    let mut whole = shared.inboxes.of(topic).kept(stand.end)?;
+    let mut whole = shared.inboxes.of(topic).snapshot(stand.end)?;
     if let Since::NotBefore(at) = unseen {
         whole.age_ms = u64::try_from(now.since(at).as_millis()).ok();
     }
@@ -110,14 +110,20 @@
 ///
 /// # Errors
 /// Fails if the peer cannot be reached, or answers what cannot be read.
-pub(crate) async fn ask(ip: IpAddr, port: u16, wanted: Wanted) -> Result<Given> {
+pub(crate) async fn fetch(
+    ip: IpAddr,
+    port: u16,
+    wanted: SnapshotRequest,
+) -> Result<SnapshotResponse> {
     let mut stream = TcpStream::connect(SocketAddr::new(ip, port)).await?;
     stream.write_all(&postcard::to_stdvec(&wanted)?).await?;
     let mut packed = Vec::new();
     stream.read_to_end(&mut packed).await?;
-    let length = packed.first_chunk::<LENGTH>().context("an empty answer")?;
-    if u32::from_le_bytes(*length) > LONGEST {
-        bail!("the answer is longer than {LONGEST} bytes");
+    let length = packed
+        .first_chunk::<LENGTH_PREFIX_BYTES>()
+        .context("an empty answer")?;
+    if u32::from_le_bytes(*length) > MAX_RESPONSE_BYTES {
+        bail!("the answer is longer than {MAX_RESPONSE_BYTES} bytes");
     }
     let given = lz4_flex::decompress_size_prepended(&packed).context("unpack the answer")?;
     postcard::from_bytes(&given).context("read the answer")
--- a/crates/ploverwick_gateway/src/lives.rs
+++ b/crates/ploverwick_gateway/src/incarnations.rs
@@ -10,9 +10,9 @@
 
 /// The lives of endpoints; one each, but for a moment after a restart.
 #[derive(Debug, Default)]
-pub(crate) struct Lives(HashMap<Arc<str>, Vec<Arc<str>>>);
+pub(crate) struct Incarnations(HashMap<Arc<str>, Vec<Arc<str>>>);
 
-impl Lives {
+impl Incarnations {
     /// Adds a life, if it is not known yet.
     pub(crate) fn add(&mut self, id: &Arc<str>) {
         let instance = roster::platform_id(id);
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use crate::controllers::{demand, draining, freshness, limits, quarantine, quotas, roster};
-use crate::mail::{self, Change, Digest, Fate, Load, Message, Used};
+use crate::messages::{
+    self, AdapterUse, Change, ChangeKind, EndpointDigest, EndpointLoad, Message,
+};
 use crate::shared::Shared;
 use crate::state::Peer;
 use crate::tell;
@@ -15,7 +17,7 @@
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
-        if let Some((message, from)) = shared.mail.receive(&mut buffer).await {
+        if let Some((message, from)) = shared.peer_socket.receive(&mut buffer).await {
             pass_on(&shared, &message, from);
             take(&shared, message, from);
         }
@@ -24,20 +26,20 @@
 
 /// Passes on what is told of endpoints elsewhere, if this instance places adapters.
 fn pass_on(shared: &Shared, message: &Message, from: IpAddr) {
-    if !message.is_passed_on() {
+    if !message.is_relayed() {
         return;
     }
     let now = shared.now();
     let state = shared.state();
     let sender = state.peers.values().find(|peer| peer.ip == from);
     let is_far = sender.is_some_and(|peer| peer.domain != shared.settings.domain);
-    let places = state.tenure.token(now).is_some();
+    let places = state.placer_lease.token(now).is_some();
     drop(state);
     if !is_far || !places {
         return;
     }
     match message {
-        Message::Changes(changes) => shared.outbox.pass_on(changes),
+        Message::Changes(changes) => shared.outbox.relay(changes),
         _ => tell::pass_on(shared, message),
     }
 }
@@ -49,70 +51,76 @@
             instance,
             domain,
             capacity,
-            places,
+            placer_token,
             waiting,
-            stands,
+            read_states,
             loads,
         } => {
             let peer = Peer {
                 ip: from,
                 domain,
                 capacity,
-                heard: Some(now),
-                places,
+                last_seen: Some(now),
+                placer_token,
                 waiting,
-                stands,
+                read_states,
             };
             status(shared, instance, peer, loads);
         }
-        Message::Totals(loads) => totals(shared, loads),
-        Message::Used(list) => used(shared, &list, from),
+        Message::LoadTotals(loads) => totals(shared, loads),
+        Message::AdapterUses(list) => used(shared, &list, from),
         Message::Need { copy, need } => demand::take(shared, &copy, need),
-        Message::Holds { endpoint, holdings } => {
-            let copies = mail::copies(holdings);
+        Message::EndpointReport { endpoint, adapters } => {
+            let copies = messages::copies(adapters);
             shared
                 .state()
                 .directory
                 .apply_report(&endpoint, copies, now);
-            shared.placed.notify_waiters();
+            shared.placement_changed.notify_waiters();
         }
-        Message::Digests(digests) => compare(shared, &digests, from),
-        Message::AskHolds(endpoints) => tell::holds(shared, from, &endpoints),
+        Message::EndpointDigests(digests) => compare(shared, &digests, from),
+        Message::EndpointReportRequest(endpoints) => tell::holds(shared, from, &endpoints),
         Message::Changes(changes) => changed(shared, changes),
-        Message::List {
+        Message::RosterUpdate {
             changed,
-            gone,
+            removed,
             digest,
-        } => roster::told(shared, changed, &gone, digest),
+        } => roster::told(shared, changed, &removed, digest),
         Message::Records(batch) => shared.inboxes.of(batch.topic).push(batch),
-        Message::End { topic, end } => shared.inboxes.of(topic).hear_end(end),
-        Message::AskProof { question } => freshness::answer(shared, from, question),
+        Message::TopicEnd { topic, end } => shared.inboxes.of(topic).observe_end(end),
+        Message::ProofRequest { query_id } => freshness::answer(shared, from, query_id),
         Message::Proof {
-            question,
+            query_id,
             end,
             age_ms,
-        } => freshness::hear(shared, question, end, Duration::from_millis(age_ms)),
-        Message::QuotaLease { question, lease } => quotas::lent(shared, from, question, &lease),
-        Message::QuotaGrants { question, grants } => quotas::given(shared, from, question, &grants),
+        } => freshness::hear(shared, query_id, end, Duration::from_millis(age_ms)),
+        Message::QuotaLease { query_id, lease } => quotas::lent(shared, from, query_id, &lease),
+        Message::QuotaGrants { query_id, grants } => quotas::given(shared, from, query_id, &grants),
         Message::BaseLoad => shared.state().base_loads.record_load(now),
-        Message::Vacant => shared.vacant.notify_one(),
-        Message::Quarantined(entries) => quarantine::hear(shared, &entries, &from),
-        Message::AskEndpointLimits => {
+        Message::LeaseReleased => shared.lease_released.notify_one(),
+        Message::QuarantineEntries(entries) => quarantine::hear(shared, &entries, &from),
+        Message::EndpointLimitsRequest => {
             tell::limits(shared, from);
             tell::all_draining(shared, from);
         }
         Message::EndpointLimits(list) => limits::told(shared, &list, from),
         Message::Draining(endpoints) => draining::told(shared, &endpoints, from),
-        Message::QuarantineDigests { digests, asks } => {
-            tell::quarantine::compare(shared, from, &digests, asks);
+        Message::QuarantineDigests {
+            digests,
+            wants_reply,
+        } => {
+            tell::quarantine::compare(shared, from, &digests, wants_reply);
         }
     }
 }
 
 /// Takes in that a peer runs, how far it has read, and what it has under way.
-fn status(shared: &Shared, instance: Arc<str>, peer: Peer, loads: Vec<Load>) {
+fn status(shared: &Shared, instance: Arc<str>, peer: Peer, loads: Vec<EndpointLoad>) {
     for topic in Topic::ALL {
-        shared.inboxes.of(topic).hear_end(peer.stands.of(topic).end);
+        shared
+            .inboxes
+            .of(topic)
+            .observe_end(peer.read_states.of(topic).end);
     }
     let now = shared.now();
     let mut state = shared.state();
@@ -126,7 +134,7 @@
 }
 
 /// Takes in the requests of all instances at endpoints.
-fn totals(shared: &Shared, loads: Vec<Load>) {
+fn totals(shared: &Shared, loads: Vec<EndpointLoad>) {
     let now = shared.now();
     let mut state = shared.state();
     for load in loads {
@@ -136,7 +144,7 @@
 }
 
 /// Takes in which adapters a peer's requests use.
-fn used(shared: &Shared, list: &[Used], from: IpAddr) {
+fn used(shared: &Shared, list: &[AdapterUse], from: IpAddr) {
     let now = shared.now();
     let mut state = shared.state();
     for used in list {
@@ -154,20 +162,20 @@
         let Change {
             endpoint,
             copy,
-            fate,
+            kind,
         } = change;
-        match fate {
-            Fate::Coming => state.directory.mark_loading(&endpoint, copy, now),
-            Fate::Loaded => state.directory.mark_loaded(&endpoint, copy, now),
-            Fate::Unloaded => state.directory.mark_unloaded(&endpoint, &copy),
+        match kind {
+            ChangeKind::Loading => state.directory.mark_loading(&endpoint, copy, now),
+            ChangeKind::Loaded => state.directory.mark_loaded(&endpoint, copy, now),
+            ChangeKind::Unloaded => state.directory.mark_unloaded(&endpoint, &copy),
         }
     }
     drop(state);
-    shared.placed.notify_waiters();
+    shared.placement_changed.notify_waiters();
 }
 
 /// Asks for what this instance holds another view of; a message may have been lost.
-fn compare(shared: &Shared, digests: &[Digest], from: IpAddr) {
+fn compare(shared: &Shared, digests: &[EndpointDigest], from: IpAddr) {
     let now = shared.now();
     let mut state = shared.state();
     let mut differ = Vec::new();
--- a/crates/ploverwick_gateway/src/journal.rs
+++ b/crates/ploverwick_gateway/src/logging.rs
@@ -45,13 +45,13 @@
 
 /// Bounds the lines about single requests.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
+pub(crate) struct LogLimiter {
     second: AtomicU64,
     written: AtomicU32,
     dropped: AtomicU32,
 }
 
-impl Lines {
+impl LogLimiter {
     /// Returns whether another line may be written now.
     pub(crate) fn allow(&self, now: Moment) -> bool {
         let second = now.0 / 1_000;
@@ -78,7 +78,7 @@
 }
 
 impl Outage {
-    pub(crate) fn of(what: &'static str) -> Self {
+    pub(crate) fn new(what: &'static str) -> Self {
         Self {
             what,
             lasting: false,
@@ -86,7 +86,7 @@
     }
 
     /// Says that it works; returns whether it failed before.
-    pub(crate) fn works(&mut self) -> bool {
+    pub(crate) fn record_success(&mut self) -> bool {
         let was_lasting = std::mem::take(&mut self.lasting);
         if was_lasting {
             spdlog::info!("dependency_back what={}", self.what);
@@ -94,7 +94,7 @@
         was_lasting
     }
 
-    pub(crate) fn fails(&mut self, cause: &dyn std::fmt::Display) {
+    pub(crate) fn record_failure(&mut self, cause: &dyn std::fmt::Display) {
         if !std::mem::replace(&mut self.lasting, true) {
             spdlog::warn!("dependency_lost what={} cause=\"{}\"", self.what, cause);
         }
--- a/crates/ploverwick_gateway/src/mail.rs
+++ b/crates/ploverwick_gateway/src/messages.rs
@@ -17,14 +17,14 @@
 use tokio::net::UdpSocket;
 
 use crate::metrics;
-use crate::topics::{Batch, Stands, Topic};
+use crate::topics::{Batch, ReadStates, Topic};
 
 /// The longest datagram; longer ones would be cut into packets by the network.
-const DATAGRAM: usize = 1_300;
+const MAX_DATAGRAM_BYTES: usize = 1_300;
 
 /// An adapter at an endpoint and the requests of the sender that use it.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Used {
+pub(crate) struct AdapterUse {
     pub(crate) endpoint: Arc<str>,
     pub(crate) copy: Copy,
     pub(crate) in_use: u32,
@@ -32,21 +32,21 @@
 
 /// The adapters of one base model that an endpoint holds.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Holding {
+pub(crate) struct ModelAdapters {
     model: Arc<str>,
     adapters: Vec<(Arc<str>, u64)>,
 }
 
 /// What is under way at an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Load {
+pub(crate) struct EndpointLoad {
     pub(crate) endpoint: Arc<str>,
     pub(crate) requests: u32,
     /// The tokens of prompts that no answer has begun for.
     pub(crate) reading: u32,
 }
 
-impl Load {
+impl EndpointLoad {
     pub(crate) fn new(endpoint: Arc<str>, load: ploverwick_endpoints::Load) -> Self {
         Self {
             endpoint,
@@ -65,16 +65,16 @@
 
 /// The digest of what an endpoint holds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Digest {
+pub(crate) struct EndpointDigest {
     pub(crate) endpoint: Arc<str>,
     pub(crate) digest: u64,
 }
 
 /// What happened to an adapter at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Fate {
+pub(crate) enum ChangeKind {
     /// It is on its way there.
-    Coming,
+    Loading,
     /// The endpoint holds it from now on.
     Loaded,
     /// The endpoint does not hold it any more.
@@ -86,16 +86,16 @@
 pub(crate) struct Change {
     pub(crate) endpoint: Arc<str>,
     pub(crate) copy: Copy,
-    pub(crate) fate: Fate,
+    pub(crate) kind: ChangeKind,
 }
 
 /// What an answer names so that the asker knows to which question it belongs, and when it asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Question {
+pub(crate) struct QueryId {
     /// Drawn anew by each process: moments of an earlier one mean nothing to the next.
-    pub(crate) life: u64,
+    pub(crate) process: u64,
     /// When it was asked, by the asker's clock.
-    pub(crate) at: Moment,
+    pub(crate) sent_at: Moment,
 }
 
 /// What one instance tells another.
@@ -107,70 +107,70 @@
         domain: Arc<str>,
         /// The part of a processor that it has, in thousandths of a core.
         capacity: u32,
-        places: Option<u64>,
+        placer_token: Option<u64>,
         /// The adapters that wait for a place, if it places them.
         waiting: u32,
         /// How far it has read each topic of the store, and whether it reads it for others.
-        stands: Stands,
-        loads: Vec<Load>,
+        read_states: ReadStates,
+        loads: Vec<EndpointLoad>,
     },
     /// The requests of all instances at endpoints of a placer's failure domain.
-    Totals(Vec<Load>),
+    LoadTotals(Vec<EndpointLoad>),
     /// Its requests use these adapters.
-    Used(Vec<Used>),
+    AdapterUses(Vec<AdapterUse>),
     /// A request needs an adapter.
     Need { copy: Copy, need: Need },
     /// An endpoint holds these adapters and no others.
-    Holds {
+    EndpointReport {
         endpoint: Arc<str>,
-        holdings: Vec<Holding>,
+        adapters: Vec<ModelAdapters>,
     },
     /// Digests of what endpoints hold; whoever has another one asks.
-    Digests(Vec<Digest>),
+    EndpointDigests(Vec<EndpointDigest>),
     /// Asks what these endpoints hold.
-    AskHolds(Vec<Arc<str>>),
+    EndpointReportRequest(Vec<Arc<str>>),
     /// What changed at endpoints, in this order.
     Changes(Vec<Change>),
     /// What changed in the list of endpoints, and the digest of all of it.
-    List {
+    RosterUpdate {
         changed: Vec<Entry>,
-        gone: Vec<Arc<str>>,
+        removed: Vec<Arc<str>>,
         digest: u64,
     },
     /// What the sender read of a topic of the store.
     Records(Batch),
     /// How far the sender has read a topic of the store, whose last record is too long for a message.
-    End { topic: Topic, end: Position },
+    TopicEnd { topic: Topic, end: Position },
     /// Asks what is proven of the age of the configuration.
-    AskProof { question: Question },
+    ProofRequest { query_id: QueryId },
     /// Answers a question: what the operator's topic held before `end` was all of it, `age_ms` before.
     Proof {
-        question: Question,
+        query_id: QueryId,
         end: Position,
         age_ms: u64,
     },
     /// Lends the sender's parts of all quotas, and asks for what its requests need.
-    QuotaLease { question: Question, lease: Lease },
+    QuotaLease { query_id: QueryId, lease: Lease },
     /// Answers that: what the sender's pool grants.
     QuotaGrants {
-        question: Question,
+        query_id: QueryId,
         grants: Vec<Grant>,
     },
     /// The sender has a base model loaded at an endpoint of its failure domain.
     BaseLoad,
     /// The sender no longer places the adapters of its failure domain.
-    Vacant,
+    LeaseReleased,
     /// The crashes that are counted against requests.
-    Quarantined(Vec<ploverwick_quarantine::Entry>),
+    QuarantineEntries(Vec<ploverwick_quarantine::Entry>),
     /// Asks which limits of endpoints the receiver knows.
-    AskEndpointLimits,
+    EndpointLimitsRequest,
     /// The limits of endpoints.
     EndpointLimits(Vec<LimitUpdate>),
     /// Digests of all crashes that the sender counts against requests; whoever has others tells what
     /// differs, and, if it was asked, its own digests.
     QuarantineDigests {
         digests: [u64; DIGEST_BUCKETS],
-        asks: bool,
+        wants_reply: bool,
     },
     /// Endpoints that have reported that they are leaving.
     Draining(Vec<Arc<str>>),
@@ -178,57 +178,57 @@
 
 impl Message {
     /// Makes the message that says what an endpoint holds.
-    pub(crate) fn holds(endpoint: &Arc<str>, copies: &[Copy]) -> Self {
-        let mut holdings: Vec<Holding> = Vec::new();
+    pub(crate) fn endpoint_report(endpoint: &Arc<str>, copies: &[Copy]) -> Self {
+        let mut models: Vec<ModelAdapters> = Vec::new();
         for copy in copies {
             let adapter = (Arc::clone(&copy.key.adapter), copy.version);
-            match holdings.iter_mut().find(|h| h.model == copy.key.model) {
+            match models.iter_mut().find(|h| h.model == copy.key.model) {
                 Some(holding) => holding.adapters.push(adapter),
-                None => holdings.push(Holding {
+                None => models.push(ModelAdapters {
                     model: Arc::clone(&copy.key.model),
                     adapters: vec![adapter],
                 }),
             }
         }
-        Self::Holds {
+        Self::EndpointReport {
             endpoint: Arc::clone(endpoint),
-            holdings,
+            adapters: models,
         }
     }
 
     /// Returns whether a placer passes this on to its failure domain when it comes from another one:
     /// what is known of endpoints crosses between two domains once and not once for each instance.
-    pub(crate) fn is_passed_on(&self) -> bool {
+    pub(crate) fn is_relayed(&self) -> bool {
         match self {
-            Self::Totals(_)
-            | Self::Holds { .. }
-            | Self::Digests(_)
+            Self::LoadTotals(_)
+            | Self::EndpointReport { .. }
+            | Self::EndpointDigests(_)
             | Self::Changes(_)
             | Self::EndpointLimits(_)
             | Self::Draining(_)
-            | Self::Quarantined(_) => true,
+            | Self::QuarantineEntries(_) => true,
             Self::Status { .. }
-            | Self::Used(_)
+            | Self::AdapterUses(_)
             | Self::Need { .. }
-            | Self::AskHolds(_)
-            | Self::List { .. }
+            | Self::EndpointReportRequest(_)
+            | Self::RosterUpdate { .. }
             | Self::Records(_)
-            | Self::End { .. }
-            | Self::AskProof { .. }
+            | Self::TopicEnd { .. }
+            | Self::ProofRequest { .. }
             | Self::Proof { .. }
             | Self::QuotaLease { .. }
             | Self::QuotaGrants { .. }
-            | Self::AskEndpointLimits
+            | Self::EndpointLimitsRequest
             | Self::BaseLoad
-            | Self::Vacant
+            | Self::LeaseReleased
             | Self::QuarantineDigests { .. } => false,
         }
     }
 }
 
 /// Lists the adapters of holdings.
-pub(crate) fn copies(holdings: Vec<Holding>) -> Vec<Copy> {
-    let copies = holdings.into_iter().flat_map(|holding| {
+pub(crate) fn copies(adapters: Vec<ModelAdapters>) -> Vec<Copy> {
+    let copies = adapters.into_iter().flat_map(|holding| {
         let model = holding.model;
         holding.adapters.into_iter().map(move |(adapter, version)| {
             let key = Key {
@@ -243,14 +243,14 @@
 
 /// The socket for messages.
 #[derive(Debug)]
-pub(crate) struct Mail {
+pub(crate) struct PeerSocket {
     socket: UdpSocket,
     /// The port of all instances.
     port: u16,
     parts: Mutex<Reassembler>,
 }
 
-impl Mail {
+impl PeerSocket {
     /// Opens the socket on an address whose port all instances use.
     pub(crate) async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
@@ -274,10 +274,10 @@
                 return;
             }
         };
-        if bytes.len() <= DATAGRAM {
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
             return self.send_datagram(&bytes, to);
         }
-        for part in parts::split(&bytes, DATAGRAM) {
+        for part in parts::split(&bytes, MAX_DATAGRAM_BYTES) {
             self.send_datagram(&part, to);
         }
     }
--- a/crates/ploverwick_gateway/src/metrics.rs
+++ b/crates/ploverwick_gateway/src/metrics.rs
@@ -21,7 +21,7 @@
 use ploverwick_topics::Reading;
 use tokio::net::TcpListener;
 
-use crate::topics::{Stand, Topic};
+use crate::topics::{ReadState, Topic};
 
 /// The path of the metrics.
 const PATH: &str = "/metrics";
@@ -119,7 +119,7 @@
 }
 
 /// Counts a repeat that was wanted, by whether the budget had one left.
-pub(crate) fn repeat(is_granted: bool) {
+pub(crate) fn retry(is_granted: bool) {
     let ending = if is_granted { "granted" } else { "refused" };
     counter!("ploverwick_repeats_total", "ending" => ending).increment(1);
 }
@@ -197,7 +197,7 @@
 }
 
 /// Says how far a topic is known, since when, and whether this instance reads it for others.
-pub(crate) fn topic(topic: Topic, stand: Stand, now: Moment) {
+pub(crate) fn topic(topic: Topic, stand: ReadState, now: Moment) {
     let topic = topic.name();
     let reads = if stand.reading == Reading::Reads {
         1.0
--- a/crates/ploverwick_gateway/src/outbox.rs
+++ b/crates/ploverwick_gateway/src/outbox.rs
@@ -7,46 +7,46 @@
 
 use tokio::sync::Notify;
 
-use crate::mail::{Change, Fate};
+use crate::messages::{Change, ChangeKind};
 
 /// Changes in one message.
-const MOST: usize = 24;
+const MAX_CHANGES_PER_MESSAGE: usize = 24;
 
 /// Changes that wait to be told.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    waiting: Mutex<Waiting>,
+    waiting: Mutex<Pending>,
     /// Says that something waits.
     added: Notify,
 }
 
 /// What waits, by who is to hear it.
 #[derive(Debug, Default)]
-pub(crate) struct Waiting {
+pub(crate) struct Pending {
     /// Changes in this failure domain, for its own instances.
-    pub(crate) near: Vec<Change>,
+    pub(crate) local: Vec<Change>,
     /// The same, for the placers of other failure domains.
-    pub(crate) far: Vec<Change>,
+    pub(crate) remote: Vec<Change>,
     /// Changes elsewhere, for the instances of this failure domain.
-    pub(crate) passed_on: Vec<Change>,
+    pub(crate) relayed: Vec<Change>,
 }
 
 impl Outbox {
     /// Adds a change at an endpoint of this failure domain; returns whether what waits for the own
     /// domain should be told now.
     pub(crate) fn add(&self, change: Change) -> bool {
-        let is_urgent = change.fate == Fate::Loaded;
+        let is_urgent = change.kind == ChangeKind::Loaded;
         self.added.notify_one();
         let mut waiting = self.lock();
-        waiting.far.push(change.clone());
-        waiting.near.push(change);
-        is_urgent || waiting.near.len() >= MOST
+        waiting.remote.push(change.clone());
+        waiting.local.push(change);
+        is_urgent || waiting.local.len() >= MAX_CHANGES_PER_MESSAGE
     }
 
     /// Adds changes that a placer of another failure domain told.
-    pub(crate) fn pass_on(&self, changes: &[Change]) {
+    pub(crate) fn relay(&self, changes: &[Change]) {
         self.added.notify_one();
-        self.lock().passed_on.extend_from_slice(changes);
+        self.lock().relayed.extend_from_slice(changes);
     }
 
     /// Waits until a change was added.
@@ -55,25 +55,25 @@
     }
 
     /// Takes what waits for the own failure domain.
-    pub(crate) fn take_near(&self) -> Vec<Change> {
-        std::mem::take(&mut self.lock().near)
+    pub(crate) fn take_local(&self) -> Vec<Change> {
+        std::mem::take(&mut self.lock().local)
     }
 
     /// Takes all that waits.
-    pub(crate) fn take(&self) -> Waiting {
+    pub(crate) fn take(&self) -> Pending {
         std::mem::take(&mut self.lock())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
+    fn lock(&self) -> MutexGuard<'_, Pending> {
         self.waiting.lock().expect("no holder of the lock panics")
     }
 }
 
 /// Cuts changes into lists that fit into a message each.
-pub(crate) fn cut(changes: Vec<Change>) -> impl Iterator<Item = Vec<Change>> {
+pub(crate) fn batches(changes: Vec<Change>) -> impl Iterator<Item = Vec<Change>> {
     let mut rest = changes;
     std::iter::from_fn(move || {
-        let after = rest.split_off(rest.len().min(MOST));
+        let after = rest.split_off(rest.len().min(MAX_CHANGES_PER_MESSAGE));
         let list = std::mem::replace(&mut rest, after);
         (!list.is_empty()).then_some(list)
     })
--- a/crates/ploverwick_gateway/src/quarantine_news.rs
+++ b/crates/ploverwick_gateway/src/quarantine_updates.rs
@@ -8,12 +8,12 @@
 
 /// The requests of which there is news.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct QuarantineUpdates {
     waiting: Mutex<HashSet<Fingerprint>>,
     added: Notify,
 }
 
-impl News {
+impl QuarantineUpdates {
     /// Says that what is counted against a request has changed here.
     pub(crate) fn add(&self, fingerprint: Fingerprint) {
         let mut waiting = self.waiting.lock().expect("no holder of the lock panics");
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -17,25 +17,25 @@
 use tokio::sync::{Notify, watch};
 
 use crate::clock::Clock;
-use crate::journal::Lines;
-use crate::mail::{Mail, Question};
+use crate::logging::LogLimiter;
+use crate::messages::{PeerSocket, QueryId};
 use crate::metrics;
 use crate::outbox::Outbox;
 use crate::pool::Pool;
-use crate::quarantine_news::News;
-use crate::state::{Listing, PEER_AGE, State, place};
+use crate::quarantine_updates::QuarantineUpdates;
+use crate::state::{InstanceListState, PEER_TIMEOUT, State, own_candidate};
 use crate::topics::{Inboxes, Topic};
 
 /// How long a grant of the right to place adapters lasts. A shorter one is taken over sooner, a
 /// longer one survives more lost calls, and a restart of the whole system, after which its holder goes
 /// on under the same token.
-pub(crate) const TENURE: Duration = Duration::from_millis(2_800);
+pub(crate) const PLACER_LEASE_DURATION: Duration = Duration::from_millis(2_800);
 /// How long a placer goes on while the store is silent; outages on record last up to 9 s, and a
 /// holder that goes on for too long only meets refusals.
 const EXTENSION: Duration = Duration::from_secs(8);
 /// The instances of a failure domain that stand by for the right beside its holder. One takes over
 /// while another one dies or cannot reach the store; each call is priced.
-pub(crate) const STANDBYS: usize = 2;
+pub(crate) const MAX_STANDBYS: usize = 2;
 
 /// The part of the bound on revoked keys up to which requests with keys are served. The rest is for clocks
 /// that run at other paces, and the time between the look at the clock and at the key.
@@ -51,43 +51,43 @@
     pub(crate) clock: Clock,
     pub(crate) store: Store,
     pub(crate) pool: Pool,
-    pub(crate) mail: Mail,
+    pub(crate) peer_socket: PeerSocket,
     pub(crate) outbox: Outbox,
     /// What is to be told of crashes that are counted against requests.
-    pub(crate) quarantine_news: News,
-    pub(crate) lines: Lines,
+    pub(crate) quarantine_updates: QuarantineUpdates,
+    pub(crate) log_limiter: LogLimiter,
     /// Whether clients' connections can be taken.
-    takes_connections: AtomicBool,
+    is_accepting: AtomicBool,
     /// Whether the token of the right to place adapters must outlast this process.
-    pub(crate) keeps_token: bool,
+    pub(crate) persists_token: bool,
     /// Wakes requests that wait for an adapter.
-    pub(crate) placed: Notify,
+    pub(crate) placement_changed: Notify,
     /// What peers told of the topics of the store.
     pub(crate) inboxes: Inboxes,
     /// Whether the last call that followed a topic failed.
-    pub(crate) store_away: watch::Sender<bool>,
+    pub(crate) store_unavailable: watch::Sender<bool>,
     /// Wakes requests under way when a version is declared.
-    pub(crate) declared: Notify,
+    pub(crate) version_declared: Notify,
     /// Says that the placer of this failure domain gave up its right.
-    pub(crate) vacant: Notify,
+    pub(crate) lease_released: Notify,
     /// Wakes the tasks that give orders.
-    pub(crate) orders: Notify,
+    pub(crate) orders_changed: Notify,
     /// Says that a request waits for its organisation's quota.
-    pub(crate) quota_wanted: Notify,
+    pub(crate) quota_requested: Notify,
     /// Wakes requests that wait for their organisations' quotas.
-    pub(crate) quota_settled: Notify,
+    pub(crate) quota_decided: Notify,
     /// Says that the process is asked to stop.
     pub(crate) stopping: watch::Sender<bool>,
     /// Tells questions of this process from those of an earlier one at the same address.
-    life: u64,
+    process_nonce: u64,
     state: Mutex<State>,
 }
 
 impl Shared {
-    pub(crate) fn new(settings: Settings, mail: Mail) -> Self {
+    pub(crate) fn new(settings: Settings, peer_socket: PeerSocket) -> Self {
         let clock = Clock::start();
         let terms = LeasePolicy {
-            duration: TENURE.max(settings.shortest_ttl),
+            duration: PLACER_LEASE_DURATION.max(settings.shortest_ttl),
             reacquire_delay: settings.lease,
             fenced: settings.fenced,
             extension: EXTENSION,
@@ -95,26 +95,26 @@
         };
         let state = State::new(&settings, terms, clock.now());
         Self {
-            takes_connections: AtomicBool::new(true),
-            keeps_token: terms.waits_after_restart(),
+            is_accepting: AtomicBool::new(true),
+            persists_token: terms.waits_after_restart(),
             store: Store::new(settings.store, settings.partitions),
             settings,
             pool: Pool::new(clock.clone()),
             clock,
-            mail,
+            peer_socket,
             outbox: Outbox::default(),
-            quarantine_news: News::default(),
-            lines: Lines::default(),
-            placed: Notify::new(),
+            quarantine_updates: QuarantineUpdates::default(),
+            log_limiter: LogLimiter::default(),
+            placement_changed: Notify::new(),
             inboxes: Inboxes::default(),
-            store_away: watch::Sender::new(false),
-            declared: Notify::new(),
-            vacant: Notify::new(),
-            orders: Notify::new(),
-            quota_wanted: Notify::new(),
-            quota_settled: Notify::new(),
+            store_unavailable: watch::Sender::new(false),
+            version_declared: Notify::new(),
+            lease_released: Notify::new(),
+            orders_changed: Notify::new(),
+            quota_requested: Notify::new(),
+            quota_decided: Notify::new(),
             stopping: watch::Sender::new(false),
-            life: rand::random(),
+            process_nonce: rand::random(),
             state: Mutex::new(state),
         }
     }
@@ -129,16 +129,16 @@
     }
 
     /// Makes a question that is asked now.
-    pub(crate) fn question(&self, now: Moment) -> Question {
-        Question {
-            life: self.life,
-            at: now,
+    pub(crate) fn query_id(&self, now: Moment) -> QueryId {
+        QueryId {
+            process: self.process_nonce,
+            sent_at: now,
         }
     }
 
     /// Returns whether this process asked a question.
-    pub(crate) fn asked(&self, question: Question) -> bool {
-        question.life == self.life && question.at <= self.now()
+    pub(crate) fn is_own_query(&self, query_id: QueryId) -> bool {
+        query_id.process == self.process_nonce && query_id.sent_at <= self.now()
     }
 
     /// Returns whether the process is asked to stop.
@@ -148,7 +148,7 @@
 
     /// Returns whether the process can serve.
     pub(crate) fn is_ready(&self) -> bool {
-        let can_take = self.takes_connections.load(Ordering::Relaxed);
+        let can_take = self.is_accepting.load(Ordering::Relaxed);
         let state = self.state();
         let knows_all = state.config.is_some() && state.has_roster && state.has_table;
         let is_fresh = self.is_younger_than(&state, CONFIRMED_SHARE);
@@ -179,47 +179,49 @@
     }
 
     /// Says whether clients' connections can be taken.
-    pub(crate) fn takes_connections(&self, can_take: bool) {
-        self.takes_connections.store(can_take, Ordering::Relaxed);
+    pub(crate) fn set_accepting(&self, can_take: bool) {
+        self.is_accepting.store(can_take, Ordering::Relaxed);
     }
 
     /// Returns whether this instance is among those of its failure domain that call the store for the
     /// others: it places adapters, or stands by to do so.
-    pub(crate) fn is_caller(&self) -> bool {
+    pub(crate) fn polls_store(&self) -> bool {
         let now = self.now();
         let state = self.state();
-        state.tenure.is_held(now) || state.rank(&self.settings, now) < STANDBYS
+        state.placer_lease.is_held(now) || state.rank(&self.settings, now) < MAX_STANDBYS
     }
 
     /// Returns what this instance is to the peers of its failure domain for a topic of the store. Whoever
     /// places adapters reads itself, as other failure domains hear of the topics' ends from it.
-    pub(crate) fn circle(&self, topic: Topic) -> Role {
+    pub(crate) fn role(&self, topic: Topic) -> Role {
         let now = self.now();
         let state = self.state();
-        if state.tenure.is_held(now) {
+        if state.placer_lease.is_held(now) {
             return Role::Reader;
         }
         let peers = state.peers.iter().filter(|(_, peer)| {
-            let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
-            is_heard && peer.domain == self.settings.domain
+            let is_alive = peer
+                .last_seen
+                .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
+            is_alive && peer.domain == self.settings.domain
         });
         let peers = peers.map(|(name, peer)| ploverwick_topics::Peer {
-            candidate: peer.place(name),
-            reading: peer.stands.of(topic).reading,
+            candidate: peer.candidate(name),
+            reading: peer.read_states.of(topic).reading,
         });
-        ploverwick_topics::role(place(&self.settings), peers)
+        ploverwick_topics::role(own_candidate(&self.settings), peers)
     }
 
     /// Takes a repeat of a request out of its service's budget; `false` if there is none left.
-    pub(crate) fn may_repeat(&self, id: &str, service: &Arc<str>) -> bool {
+    pub(crate) fn may_retry(&self, id: &str, service: &Arc<str>) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let account = state.repeat(service, self.repeat_rate(), now);
-        let instances = state.census.max_in_window(self.repeat_rate(), now);
+        let account = state.try_retry(service, self.retry_policy(), now);
+        let instances = state.instance_count.max_in_window(self.retry_policy(), now);
         drop(state);
         let is_granted = account.allows_retry();
-        metrics::repeat(is_granted);
-        if self.lines.allow(now) {
+        metrics::retry(is_granted);
+        if self.log_limiter.allow(now) {
             spdlog::info!(
                 "request_repeated id={} service={} granted={} earned={:.2} spent={:.2} share={:.2} instances={:?}",
                 id,
@@ -236,31 +238,33 @@
 
     /// Takes in that the list of instances may have changed.
     pub(crate) fn count_instances(&self, state: &mut State) {
-        if state.listing == Listing::Listed {
+        if state.instance_list == InstanceListState::Listed {
             let instances = state.peers.len() + 1;
             state
-                .census
-                .record(instances, self.repeat_rate(), self.now());
+                .instance_count
+                .record(instances, self.retry_policy(), self.now());
         }
     }
 
     /// Returns the largest number of instances that were listed lately; `None` until this one was among them.
-    pub(crate) fn listed(&self, state: &State) -> Option<usize> {
-        state.census.max_in_window(self.repeat_rate(), self.now())
+    pub(crate) fn max_instances(&self, state: &State) -> Option<usize> {
+        state
+            .instance_count
+            .max_in_window(self.retry_policy(), self.now())
     }
 
     /// Returns how many instances share what is bounded over all of them, as far as that is proven:
     /// what one spent that has just left still counts.
     pub(crate) fn sharers(&self, state: &State) -> Sharers {
-        let most = self.listed(state);
-        match (state.census.known_since(), most) {
+        let most = self.max_instances(state);
+        match (state.instance_count.known_since(), most) {
             (Some(since), Some(count)) => Sharers::Known { count, since },
             (None, _) | (_, None) => Sharers::Unknown,
         }
     }
 
     /// Returns the bound on repeats.
-    fn repeat_rate(&self) -> RetryPolicy {
+    fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             ratio: self.settings.repeat_ratio,
             allowance: self.settings.repeat_allowance,
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -19,14 +19,14 @@
 use ploverwick_topics::Candidate;
 use ploverwick_topics::freshness::Freshness;
 
-use crate::lives::Lives;
-use crate::topics::Stands;
+use crate::incarnations::Incarnations;
+use crate::topics::ReadStates;
 
 /// A placer that is silent for longer is asked for nothing that another failure domain can load: it
 /// speaks every 600 ms to other domains, so that two messages are missing.
-const PLACER_AGE: Duration = Duration::from_millis(1_300);
+const PLACER_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// A peer that is silent for longer is not asked for anything.
-pub(crate) const PEER_AGE: Duration = Duration::from_millis(2_500);
+pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Another instance.
 #[derive(Debug, Clone)]
@@ -36,18 +36,18 @@
     /// The part of a processor that it has, in thousandths of a core.
     pub(crate) capacity: u32,
     /// When it last sent a message.
-    pub(crate) heard: Option<Moment>,
+    pub(crate) last_seen: Option<Moment>,
     /// Its fencing token, if it places the adapters of its failure domain.
-    pub(crate) places: Option<u64>,
+    pub(crate) placer_token: Option<u64>,
     /// The adapters that wait for a place there, if it places them.
     pub(crate) waiting: u32,
     /// How far it has read each topic of the store.
-    pub(crate) stands: Stands,
+    pub(crate) read_states: ReadStates,
 }
 
 impl Peer {
     /// Returns its place among the instances of its failure domain.
-    pub(crate) fn place<'a>(&self, name: &'a str) -> Candidate<'a> {
+    pub(crate) fn candidate<'a>(&self, name: &'a str) -> Candidate<'a> {
         Candidate {
             capacity: self.capacity,
             name,
@@ -56,7 +56,7 @@
 }
 
 /// Returns this instance's place among those of its failure domain.
-pub(crate) fn place(settings: &Settings) -> Candidate<'_> {
+pub(crate) fn own_candidate(settings: &Settings) -> Candidate<'_> {
     Candidate {
         capacity: settings.capacity,
         name: &settings.instance,
@@ -65,7 +65,7 @@
 
 /// What one life of an instance read of the list of instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Listing {
+pub(crate) enum InstanceListState {
     /// Nothing.
     Unread,
     /// The list.
@@ -81,7 +81,7 @@
     pub(crate) config: Option<Arc<Config>>,
     pub(crate) has_roster: bool,
     /// When a peer last told what the list of endpoints holds, and it agreed with this one.
-    pub(crate) roster_told: Option<Moment>,
+    pub(crate) roster_confirmed_at: Option<Moment>,
     /// Whether the table's topic was read in this life, so that a missing table is known to be none.
     pub(crate) has_table: bool,
     /// The operators' table; `None` until one is published.
@@ -95,32 +95,32 @@
     /// The endpoints whose answers to this instance reported that they are leaving.
     pub(crate) departures: Departures,
     /// The lives of the endpoints in it.
-    pub(crate) lives: Lives,
+    pub(crate) incarnations: Incarnations,
     pub(crate) directory: Directory,
     /// What is proved of the age of what the operator wrote.
-    pub(crate) horizon: Watermark,
+    pub(crate) watermark: Watermark,
     /// What is proven of the age of the configuration.
     pub(crate) freshness: Freshness,
     /// How far this instance has read each topic of the store.
-    pub(crate) stands: Stands,
+    pub(crate) read_states: ReadStates,
     pub(crate) placer: Placer,
-    pub(crate) tenure: Lease,
+    pub(crate) placer_lease: Lease,
     /// The base models that were loaded lately in this failure domain.
     pub(crate) base_loads: LoadLimiter,
     pub(crate) budgets: HashMap<Arc<str>, Budget>,
     /// The instances that share what is bounded over all of them.
-    pub(crate) census: InstanceCount,
+    pub(crate) instance_count: InstanceCount,
     pub(crate) peers: HashMap<Arc<str>, Peer>,
     /// The instances of this failure domain that left, and when: they may start again while the store is
     /// away, and then know nobody.
-    pub(crate) former: Vec<(IpAddr, Moment)>,
+    pub(crate) former_peers: Vec<(IpAddr, Moment)>,
     /// What this life of the instance read of the list of instances.
-    pub(crate) listing: Listing,
+    pub(crate) instance_list: InstanceListState,
     /// Whether an earlier life of this instance was the last to place adapters here.
-    pub(crate) placed_before: bool,
+    pub(crate) was_placer: bool,
     /// This instance's requests under way, by endpoint and adapter; 0 for one that ended since the
     /// placers were told.
-    pub(crate) uses: HashMap<(Arc<str>, Copy), u32>,
+    pub(crate) adapter_uses: HashMap<(Arc<str>, Copy), u32>,
     /// What this instance may use of the organisations' quotas.
     pub(crate) allocation: Allocation,
     /// The parts of quotas that instances lent to this one.
@@ -137,7 +137,7 @@
         Self {
             config: None,
             has_roster: false,
-            roster_told: None,
+            roster_confirmed_at: None,
             has_table: false,
             table: None,
             rates: RateLimiter::new(if settings.first_start {
@@ -149,25 +149,25 @@
             limits: Limits::default(),
             pauses: Pauses::default(),
             departures: Departures::default(),
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
             directory: Directory::default(),
-            horizon: Watermark::default(),
+            watermark: Watermark::default(),
             freshness: Freshness::default(),
-            stands: Stands::default(),
+            read_states: ReadStates::default(),
             placer: Placer::default(),
-            tenure: Lease::new(terms, !settings.first_start, now),
+            placer_lease: Lease::new(terms, !settings.first_start, now),
             base_loads: if settings.first_start {
                 LoadLimiter::default()
             } else {
                 LoadLimiter::after_unknown_loads(now)
             },
             budgets: HashMap::new(),
-            census: InstanceCount::default(),
+            instance_count: InstanceCount::default(),
             peers: HashMap::new(),
-            former: Vec::new(),
-            listing: Listing::Unread,
-            placed_before: false,
-            uses: HashMap::new(),
+            former_peers: Vec::new(),
+            instance_list: InstanceListState::Unread,
+            was_placer: false,
+            adapter_uses: HashMap::new(),
             allocation: Allocation::new(settings.ip.into(), now),
             quota_pool: Pool::new(settings.quota_window),
             broken_connections: BrokenConnections::default(),
@@ -178,10 +178,12 @@
     /// Returns who places the adapters of a failure domain, unless it is this instance.
     pub(crate) fn placer_of(&self, domain: &str, now: Moment) -> Option<IpAddr> {
         let peers = self.peers.values().filter(|peer| {
-            let heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
-            heard && &*peer.domain == domain
+            let is_alive = peer
+                .last_seen
+                .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
+            is_alive && &*peer.domain == domain
         });
-        let placers = peers.filter_map(|peer| Some((peer.places?, peer.ip)));
+        let placers = peers.filter_map(|peer| Some((peer.placer_token?, peer.ip)));
         placers.max().map(|(_, ip)| ip)
     }
 
@@ -189,13 +191,13 @@
     pub(crate) fn remove_peer(&mut self, name: &str, settings: &Settings, now: Moment) {
         let left = self.peers.remove(name);
         if let Some(peer) = left.filter(|peer| peer.domain == settings.domain) {
-            self.former.push((peer.ip, now));
+            self.former_peers.push((peer.ip, now));
         }
     }
 
     /// Returns the list of endpoints with what each holds, for an instance that has just started; `None` if
     /// it was not read yet.
-    pub(crate) fn whole_list(&self) -> Option<Vec<Entry>> {
+    pub(crate) fn roster_snapshot(&self) -> Option<Vec<Entry>> {
         let entries = self.fleet.entries().map(|entry| {
             let mut entry = entry.clone();
             if let Some(copies) = self.directory.held(&entry.id) {
@@ -209,32 +211,36 @@
     /// Returns how many adapters wait for a place in a failure domain; `None` if nobody places adapters
     /// there.
     pub(crate) fn waiting_in(&self, domain: &str, settings: &Settings, now: Moment) -> Option<u32> {
-        if *domain == *settings.domain && self.tenure.is_held(now) {
+        if *domain == *settings.domain && self.placer_lease.is_held(now) {
             return Some(u32::try_from(self.placer.waiting()).unwrap_or(u32::MAX));
         }
         let ip = self.placer_of(domain, now)?;
         let placer = self.peers.values().find(|peer| peer.ip == ip)?;
-        let is_heard = placer.heard.is_some_and(|at| now.since(at) <= PLACER_AGE);
-        is_heard.then_some(placer.waiting)
+        let is_alive = placer
+            .last_seen
+            .is_some_and(|at| now.since(at) <= PLACER_TIMEOUT);
+        is_alive.then_some(placer.waiting)
     }
 
     /// Returns how many instances of this failure domain that are heard come before this one. Those
     /// that come first call the store for the others.
     pub(crate) fn rank(&self, settings: &Settings, now: Moment) -> usize {
         let before = self.peers.iter().filter(|(name, peer)| {
-            let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
-            let is_near = is_heard && peer.domain == settings.domain;
-            is_near && peer.place(name).precedes(place(settings))
+            let is_alive = peer
+                .last_seen
+                .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
+            let is_near = is_alive && peer.domain == settings.domain;
+            is_near && peer.candidate(name).precedes(own_candidate(settings))
         });
         before.count()
     }
 
     /// Lists the addresses of all instances that are listed and of this one, those that come first first.
-    pub(crate) fn by_place(&self, settings: &Settings) -> Vec<IpAddr> {
+    pub(crate) fn ranked_instances(&self, settings: &Settings) -> Vec<IpAddr> {
         let peers = self.peers.iter();
-        let peers = peers.map(|(name, peer)| (peer.place(name), peer.ip));
+        let peers = peers.map(|(name, peer)| (peer.candidate(name), peer.ip));
         let mut all: Vec<_> = peers
-            .chain([(place(settings), settings.ip.into())])
+            .chain([(own_candidate(settings), settings.ip.into())])
             .collect();
         all.sort_by(|(a, _), (b, _)| b.precedes(*a).cmp(&a.precedes(*b)));
         all.into_iter().map(|(_, ip)| ip).collect()
@@ -246,8 +252,8 @@
         let peers = self.peers.iter();
         let before = peers
             .filter(|(_, peer)| peer.domain == settings.domain)
-            .filter(|(name, peer)| peer.place(name).precedes(place(settings)));
-        (self.listing != Listing::Unread).then(|| before.count())
+            .filter(|(name, peer)| peer.candidate(name).precedes(own_candidate(settings)));
+        (self.instance_list != InstanceListState::Unread).then(|| before.count())
     }
 
     /// Lists the instances that may send to an endpoint of a failure domain that names a limit: those of
@@ -261,7 +267,10 @@
         let there = self.peers.iter();
         let there = there.filter(|(_, peer)| *peer.domain == *domain);
         if *domain == *settings.domain {
-            let runs = |peer: &Peer| peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
+            let runs = |peer: &Peer| {
+                peer.last_seen
+                    .is_some_and(|at| now.since(at) <= PEER_TIMEOUT)
+            };
             let near = there.filter(|(_, peer)| runs(peer));
             let near = near.map(|(name, _)| &**name);
             return near.chain([&*settings.instance]).collect();
@@ -292,9 +301,9 @@
     }
 
     /// Counts a request that uses an adapter at an endpoint, or one that ended.
-    pub(crate) fn count_use(&mut self, endpoint: &Arc<str>, copy: &Copy, begins: bool) {
+    pub(crate) fn record_use(&mut self, endpoint: &Arc<str>, copy: &Copy, begins: bool) {
         let key = (Arc::clone(endpoint), copy.clone());
-        let in_use = self.uses.entry(key).or_default();
+        let in_use = self.adapter_uses.entry(key).or_default();
         *in_use = if begins {
             *in_use + 1
         } else {
@@ -303,9 +312,14 @@
     }
 
     /// Takes a repeat of a request to a service out of the budget, and returns what that rests on.
-    pub(crate) fn repeat(&mut self, service: &Arc<str>, rate: RetryPolicy, now: Moment) -> Balance {
+    pub(crate) fn try_retry(
+        &mut self,
+        service: &Arc<str>,
+        rate: RetryPolicy,
+        now: Moment,
+    ) -> Balance {
         let budget = self.budgets.entry(Arc::clone(service)).or_default();
-        budget.try_retry(rate, &self.census, now)
+        budget.try_retry(rate, &self.instance_count, now)
     }
 }
 
--- a/crates/ploverwick_gateway/src/tell.rs
+++ b/crates/ploverwick_gateway/src/tell.rs
@@ -17,11 +17,11 @@
 use ploverwick_names::Moment;
 use ploverwick_topics::Position;
 
-use crate::mail::{Change, Fate, Message};
+use crate::messages::{Change, ChangeKind, Message};
 use crate::outbox;
 use crate::shared::Shared;
 use crate::state::State;
-use crate::topics::{Told, Topic};
+use crate::topics::{RelayedRecord, Topic};
 
 pub(crate) use rounds::run;
 
@@ -38,26 +38,26 @@
         copy: copy.clone(),
         need,
     };
-    shared.mail.send(&message, &[ip]);
+    shared.peer_socket.send(&message, &[ip]);
 }
 
 /// Tells what changed at an endpoint of this failure domain, together with what waits.
 pub(crate) fn changed(shared: &Shared, endpoint: &Arc<str>, event: &Event) {
-    let (copy, fate) = match event {
-        Event::Loading(copy) => (copy, Fate::Coming),
-        Event::Loaded(copy) => (copy, Fate::Loaded),
-        Event::Unloaded(copy) => (copy, Fate::Unloaded),
+    let (copy, kind) = match event {
+        Event::Loading(copy) => (copy, ChangeKind::Loading),
+        Event::Loaded(copy) => (copy, ChangeKind::Loaded),
+        Event::Unloaded(copy) => (copy, ChangeKind::Unloaded),
         Event::Reported(copies) => return learned(shared, endpoint, copies),
         Event::BaseLoaded(_) => return,
     };
     let change = Change {
         endpoint: Arc::clone(endpoint),
         copy: copy.clone(),
-        fate,
+        kind,
     };
     if shared.outbox.add(change) {
         let to = near(shared, &shared.state());
-        send_changes(shared, shared.outbox.take_near(), &to);
+        send_changes(shared, shared.outbox.take_local(), &to);
     }
 }
 
@@ -69,7 +69,9 @@
     let mut to = near(shared, &state);
     to.extend(hubs(shared, &state, now));
     drop(state);
-    shared.mail.send(&Message::holds(endpoint, copies), &to);
+    shared
+        .peer_socket
+        .send(&Message::endpoint_report(endpoint, copies), &to);
 }
 
 /// Tells what waits, a moment after something was added.
@@ -83,7 +85,7 @@
 
 fn flush(shared: &Shared) {
     let waiting = shared.outbox.take();
-    if waiting.far.is_empty() && waiting.passed_on.is_empty() {
+    if waiting.remote.is_empty() && waiting.relayed.is_empty() {
         return;
     }
     let now = shared.now();
@@ -91,28 +93,28 @@
     let near = near(shared, &state);
     let hubs = hubs(shared, &state, now);
     drop(state);
-    send_changes(shared, waiting.near, &near);
-    send_changes(shared, waiting.far, &hubs);
-    send_changes(shared, waiting.passed_on, &near);
+    send_changes(shared, waiting.local, &near);
+    send_changes(shared, waiting.remote, &hubs);
+    send_changes(shared, waiting.relayed, &near);
 }
 
 fn send_changes(shared: &Shared, changes: Vec<Change>, to: &[IpAddr]) {
-    for list in outbox::cut(changes) {
-        shared.mail.send(&Message::Changes(list), to);
+    for list in outbox::batches(changes) {
+        shared.peer_socket.send(&Message::Changes(list), to);
     }
 }
 
 /// Tells the peers of this failure domain that one of them may place its adapters.
 pub(crate) fn vacate(shared: &Shared) {
     let to = near(shared, &shared.state());
-    shared.mail.send(&Message::Vacant, &to);
+    shared.peer_socket.send(&Message::LeaseReleased, &to);
 }
 
 /// Tells the peers of this failure domain, each of which may place adapters next, that a base model
 /// is being loaded.
 pub(crate) fn base_load(shared: &Shared) {
     let to = near(shared, &shared.state());
-    shared.mail.send(&Message::BaseLoad, &to);
+    shared.peer_socket.send(&Message::BaseLoad, &to);
 }
 
 /// Tells all instances a limit of an endpoint that an answer said here.
@@ -122,7 +124,9 @@
     let mut to = near(shared, &state);
     to.extend(hubs(shared, &state, now));
     drop(state);
-    shared.mail.send(&Message::EndpointLimits(vec![told]), &to);
+    shared
+        .peer_socket
+        .send(&Message::EndpointLimits(vec![told]), &to);
 }
 
 /// Notifies all instances of endpoints whose answers to this instance reported that they are leaving.
@@ -132,7 +136,7 @@
     let mut to = near(shared, &state);
     to.extend(hubs(shared, &state, now));
     drop(state);
-    shared.mail.send(&Message::Draining(endpoints), &to);
+    shared.peer_socket.send(&Message::Draining(endpoints), &to);
 }
 
 /// Sends the instance at `ip` all endpoints that this instance knows to be draining.
@@ -143,7 +147,9 @@
     let draining: Vec<Arc<str>> = draining.map(|entry| Arc::clone(&entry.id)).collect();
     drop(state);
     for part in draining.chunks(rounds::CHUNK) {
-        shared.mail.send(&Message::Draining(part.to_vec()), &[ip]);
+        shared
+            .peer_socket
+            .send(&Message::Draining(part.to_vec()), &[ip]);
     }
 }
 
@@ -161,7 +167,9 @@
     let can_ask = state.has_roster && !to.is_empty();
     drop(state);
     if can_ask {
-        shared.mail.send(&Message::AskEndpointLimits, &to);
+        shared
+            .peer_socket
+            .send(&Message::EndpointLimitsRequest, &to);
     }
     can_ask
 }
@@ -172,21 +180,21 @@
     let known = shared.state().limits.updates(now);
     for part in known.chunks(rounds::CHUNK) {
         let message = Message::EndpointLimits(part.to_vec());
-        shared.mail.send(&message, &[ip]);
+        shared.peer_socket.send(&message, &[ip]);
     }
 }
 
 /// Passes on what a placer of another failure domain says.
 pub(crate) fn pass_on(shared: &Shared, message: &Message) {
     let to = near(shared, &shared.state());
-    shared.mail.send(message, &to);
+    shared.peer_socket.send(message, &to);
 }
 
 /// Tells the peers of this failure domain what changed in the list of endpoints.
 pub(crate) fn list(shared: &Shared, changed: Vec<Entry>, gone: Vec<Arc<str>>, digest: u64) {
     let peers = near(shared, &shared.state());
     for message in batches::of_list(changed, gone, digest) {
-        shared.mail.send(&message, &peers);
+        shared.peer_socket.send(&message, &peers);
     }
 }
 
@@ -197,17 +205,19 @@
     topic: Topic,
     from: Position,
     next: Position,
-    records: Vec<Told>,
+    records: Vec<RelayedRecord>,
 ) {
     let peers = near(shared, &shared.state());
     for message in batches::of_records(topic, from, next, records) {
-        shared.mail.send(&message, &peers);
+        shared.peer_socket.send(&message, &peers);
     }
 }
 
 /// Asks the instance at `ip` what endpoints hold.
 pub(crate) fn ask_holds(shared: &Shared, ip: IpAddr, endpoints: Vec<Arc<str>>) {
-    shared.mail.send(&Message::AskHolds(endpoints), &[ip]);
+    shared
+        .peer_socket
+        .send(&Message::EndpointReportRequest(endpoints), &[ip]);
 }
 
 /// Tells the instance at `ip` what endpoints hold, as far as it is known here.
@@ -215,7 +225,9 @@
     for endpoint in endpoints {
         let held = shared.state().directory.held(endpoint);
         if let Some(held) = held {
-            shared.mail.send(&Message::holds(endpoint, &held), &[ip]);
+            shared
+                .peer_socket
+                .send(&Message::endpoint_report(endpoint, &held), &[ip]);
         }
     }
 }
--- a/crates/ploverwick_gateway/src/tell/batches.rs
+++ b/crates/ploverwick_gateway/src/tell/batches.rs
@@ -5,8 +5,8 @@
 use ploverwick_endpoints::Entry;
 use ploverwick_topics::{Position, parts};
 
-use crate::mail::Message;
-use crate::topics::{Batch, Told, Topic};
+use crate::messages::Message;
+use crate::topics::{Batch, RelayedRecord, Topic};
 
 /// The bytes of records in one message, which is cut into as many datagrams as it needs. A configuration
 /// takes some kilobytes; longer records each instance reads itself.
@@ -26,9 +26,9 @@
     let mut out = Vec::new();
     loop {
         let rest = changed.split_off(changed.len().min(ENTRIES));
-        out.push(Message::List {
+        out.push(Message::RosterUpdate {
             changed: std::mem::replace(&mut changed, rest),
-            gone: std::mem::take(&mut gone),
+            removed: std::mem::take(&mut gone),
             digest,
         });
         if changed.is_empty() {
@@ -42,7 +42,7 @@
     topic: Topic,
     from: Position,
     next: Position,
-    records: Vec<Told>,
+    records: Vec<RelayedRecord>,
 ) -> Vec<Message> {
     let mut out = Vec::new();
     let mut part = Batch {
@@ -67,7 +67,7 @@
             bytes = 0;
         }
         if length > LONGEST_BATCH {
-            out.push(Message::End { topic, end: next });
+            out.push(Message::TopicEnd { topic, end: next });
             return out;
         }
         bytes += length;
@@ -78,6 +78,6 @@
 }
 
 /// Returns the most bytes that a record takes in a message.
-fn record_bytes(record: &Told) -> usize {
+fn record_bytes(record: &RelayedRecord) -> usize {
     HEADS + record.key.len() + record.value.as_ref().map_or(0, Vec::len)
 }
--- a/crates/ploverwick_gateway/src/tell/quarantine.rs
+++ b/crates/ploverwick_gateway/src/tell/quarantine.rs
@@ -8,7 +8,7 @@
 use ploverwick_quarantine::{DIGEST_BUCKETS, Entry, Fingerprint};
 
 use super::{hubs, near};
-use crate::mail::Message;
+use crate::messages::Message;
 use crate::shared::Shared;
 
 /// How long news is gathered. Where many endpoints crash at once, an instance of a large fleet would send
@@ -23,9 +23,9 @@
 /// Tells all instances what changed, for as long as the process runs.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        shared.quarantine_news.added().await;
+        shared.quarantine_updates.added().await;
         tokio::time::sleep(GATHER).await;
-        let urgent = tell(&shared, &shared.quarantine_news.take());
+        let urgent = tell(&shared, &shared.quarantine_updates.take());
         if !urgent.is_empty() {
             tokio::spawn(again(Arc::clone(&shared), urgent));
         }
@@ -53,7 +53,9 @@
 
 fn send(shared: &Shared, entries: &[Entry], to: &[IpAddr]) {
     for part in entries.chunks(CHUNK) {
-        shared.mail.send(&Message::Quarantined(part.to_vec()), to);
+        shared
+            .peer_socket
+            .send(&Message::QuarantineEntries(part.to_vec()), to);
     }
 }
 
@@ -69,8 +71,8 @@
     if asks && own != *digests {
         let message = Message::QuarantineDigests {
             digests: own,
-            asks: false,
+            wants_reply: false,
         };
-        shared.mail.send(&message, &[ip]);
+        shared.peer_socket.send(&message, &[ip]);
     }
 }
--- a/crates/ploverwick_gateway/src/tell/rounds.rs
+++ b/crates/ploverwick_gateway/src/tell/rounds.rs
@@ -10,7 +10,7 @@
 
 use super::{hubs, near};
 use crate::controllers::limits;
-use crate::mail::{Digest, Load, Message, Used};
+use crate::messages::{AdapterUse, EndpointDigest, EndpointLoad, Message};
 use crate::shared::Shared;
 use crate::state::State;
 
@@ -46,7 +46,7 @@
         }
         let outgoing = compose(&shared, round);
         for (message, to) in outgoing {
-            shared.mail.send(&message, &to);
+            shared.peer_socket.send(&message, &to);
         }
     }
 }
@@ -55,14 +55,16 @@
     let now = shared.now();
     let mut state = shared.state();
     // This pause is the step by which a process that was held up is known.
-    state.horizon.tick(now);
+    state.watermark.tick(now);
     limits::assign(shared, &mut state, now);
-    let places = state.tenure.token(now);
+    let places = state.placer_lease.token(now);
     let is_far_turn = round.is_multiple_of(FAR_EVERY);
     let mut to = listeners(shared, &state, round, now);
     if is_far_turn {
-        state.former.retain(|(_, left)| now.since(*left) < FORMER);
-        to.extend(state.former.iter().map(|(ip, _)| *ip));
+        state
+            .former_peers
+            .retain(|(_, left)| now.since(*left) < FORMER);
+        to.extend(state.former_peers.iter().map(|(ip, _)| *ip));
     }
     let mut out = vec![(status(shared, &state, places, |_| true), to)];
     if is_far_turn {
@@ -75,12 +77,17 @@
             if is_far_turn {
                 to.extend(hubs(shared, &state, now));
             }
-            chunks(totals(shared, &state, now), &to, Message::Totals, &mut out);
+            chunks(
+                totals(shared, &state, now),
+                &to,
+                Message::LoadTotals,
+                &mut out,
+            );
         }
         if round.is_multiple_of(DIGESTS_EVERY) {
             let mut to = near;
             to.extend(hubs(shared, &state, now));
-            chunks(digests(&state), &to, Message::Digests, &mut out);
+            chunks(digests(&state), &to, Message::EndpointDigests, &mut out);
         }
     }
     if round.is_multiple_of(DIGESTS_EVERY) {
@@ -100,7 +107,7 @@
         out.push((
             Message::QuarantineDigests {
                 digests,
-                asks: true,
+                wants_reply: true,
             },
             to,
         ));
@@ -148,14 +155,14 @@
 ) -> Message {
     let loads = state.fleet.own_loads().into_iter();
     let loads = loads.filter(|(endpoint, _)| matters(endpoint));
-    let loads = loads.map(|(endpoint, load)| Load::new(endpoint, load));
+    let loads = loads.map(|(endpoint, load)| EndpointLoad::new(endpoint, load));
     Message::Status {
         instance: Arc::clone(&shared.settings.instance),
         domain: Arc::clone(&shared.settings.domain),
         capacity: shared.settings.capacity,
-        places,
+        placer_token: places,
         waiting: u32::try_from(state.placer.waiting()).unwrap_or(u32::MAX),
-        stands: state.stands,
+        read_states: state.read_states,
         loads: loads.collect(),
     }
 }
@@ -183,24 +190,24 @@
 }
 
 /// Sums the requests at the endpoints of this failure domain.
-fn totals(shared: &Shared, state: &State, now: Moment) -> Vec<Load> {
+fn totals(shared: &Shared, state: &State, now: Moment) -> Vec<EndpointLoad> {
     let own = state.fleet.entries();
     let own = own.filter(|entry| entry.domain == shared.settings.domain);
     let totals = own.map(|entry| {
         let load = state.fleet.reported_load(&entry.id, now);
-        Load::new(Arc::clone(&entry.id), load)
+        EndpointLoad::new(Arc::clone(&entry.id), load)
     });
     totals.collect()
 }
 
 /// Digests what the endpoints hold at which this instance places adapters.
-fn digests(state: &State) -> Vec<Digest> {
+fn digests(state: &State) -> Vec<EndpointDigest> {
     let known = state
         .placer
         .endpoints()
         .filter(|(_, slots)| slots.is_known());
     let digests = known.filter_map(|(endpoint, _)| {
-        Some(Digest {
+        Some(EndpointDigest {
             endpoint: Arc::clone(endpoint),
             digest: state.directory.digest(endpoint)?,
         })
@@ -210,14 +217,14 @@
 
 /// Reports the use of adapters to those who may unload them.
 fn uses(own: IpAddr, state: &mut State, now: Moment, out: &mut Vec<(Message, Vec<IpAddr>)>) {
-    let mut by_domain: HashMap<Arc<str>, Vec<Used>> = HashMap::new();
+    let mut by_domain: HashMap<Arc<str>, Vec<AdapterUse>> = HashMap::new();
     let State {
-        uses,
+        adapter_uses,
         fleet,
         placer,
         ..
     } = state;
-    uses.retain(|(endpoint, copy), in_use| {
+    adapter_uses.retain(|(endpoint, copy), in_use| {
         let Some(entry) = fleet.entry(endpoint) else {
             return *in_use > 0;
         };
@@ -225,7 +232,7 @@
             slots.record_use(copy, own, *in_use, now);
         }
         let list = by_domain.entry(Arc::clone(&entry.domain)).or_default();
-        list.push(Used {
+        list.push(AdapterUse {
             endpoint: Arc::clone(endpoint),
             copy: copy.clone(),
             in_use: *in_use,
@@ -238,7 +245,7 @@
         };
         while !list.is_empty() {
             let rest = list.split_off(list.len().min(CHUNK / 2));
-            let message = Message::Used(std::mem::replace(&mut list, rest));
+            let message = Message::AdapterUses(std::mem::replace(&mut list, rest));
             out.push((message, vec![ip]));
         }
     }
--- a/crates/ploverwick_gateway/src/topics.rs
+++ b/crates/ploverwick_gateway/src/topics.rs
@@ -10,10 +10,10 @@
 use tokio::sync::{Notify, watch};
 
 /// The most bytes of a topic's newest records that are kept for others; a longer topic they read themselves.
-const LONGEST_WHOLE: usize = 2 * 1_024 * 1_024;
+const MAX_SNAPSHOT_BYTES: usize = 2 * 1_024 * 1_024;
 /// Batches that wait to be taken in. More come only while the process is held up; what is dropped is
 /// read from the store.
-const MOST: usize = 64;
+const MAX_QUEUED_BATCHES: usize = 64;
 
 /// A topic of which peers tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,28 +54,28 @@
 
 /// How far an instance has read a topic, and whether it reads it for others.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Stand {
+pub(crate) struct ReadState {
     pub(crate) end: Position,
     pub(crate) reading: Reading,
 }
 
 /// Where an instance stands in each topic.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Stands([Stand; Topic::ALL.len()]);
+pub(crate) struct ReadStates([ReadState; Topic::ALL.len()]);
 
-impl Stands {
-    pub(crate) fn of(&self, topic: Topic) -> Stand {
+impl ReadStates {
+    pub(crate) fn of(&self, topic: Topic) -> ReadState {
         self.0[topic.index()]
     }
 
-    pub(crate) fn set(&mut self, topic: Topic, stand: Stand) {
+    pub(crate) fn set(&mut self, topic: Topic, stand: ReadState) {
         self.0[topic.index()] = stand;
     }
 }
 
 /// A record as a peer tells it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Told {
+pub(crate) struct RelayedRecord {
     pub(crate) key: String,
     pub(crate) value: Option<Vec<u8>>,
     pub(crate) offset: u64,
@@ -92,33 +92,33 @@
     pub(crate) from: Position,
     /// The position after the last.
     pub(crate) next: Position,
-    pub(crate) records: Vec<Told>,
+    pub(crate) records: Vec<RelayedRecord>,
 }
 
 /// The newest record of each key of a topic.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Whole {
+pub(crate) struct TopicSnapshot {
     /// The position up to which the topic was read.
     pub(crate) end: Position,
     /// The most milliseconds since when records may have come that are not among these; `None` if that is
     /// not known.
     pub(crate) age_ms: Option<u64>,
-    pub(crate) records: Vec<Told>,
+    pub(crate) records: Vec<RelayedRecord>,
 }
 
 /// The newest record of each key, kept for instances that start.
 #[derive(Debug, Default)]
-struct Kept {
+struct Cache {
     records: BTreeMap<String, Record>,
     /// Whether the topic was read as a whole, and is short enough for a message.
-    is_whole: bool,
+    is_complete: bool,
 }
 
 /// What peers told of a topic.
 #[derive(Debug, Default)]
 pub(crate) struct Inbox {
     batches: Mutex<VecDeque<Batch>>,
-    kept: Mutex<Kept>,
+    cache: Mutex<Cache>,
     /// Says that something came.
     pub(crate) added: Notify,
     /// The furthest position up to which a peer has read.
@@ -127,7 +127,7 @@
 
 impl Inbox {
     /// Takes in how far a peer has read.
-    pub(crate) fn hear_end(&self, end: Position) {
+    pub(crate) fn observe_end(&self, end: Position) {
         let is_further = self.end.send_if_modified(|known| {
             let is_further = end > *known;
             *known = end.max(*known);
@@ -139,14 +139,14 @@
     }
 
     /// Takes in that the topic ends at `end`, whatever peers told.
-    pub(crate) fn correct(&self, end: Position) {
+    pub(crate) fn truncate_end(&self, end: Position) {
         self.end.send_modify(|told| *told = end.min(*told));
     }
 
     /// Adds records that a peer told.
     pub(crate) fn push(&self, batch: Batch) {
         let mut batches = self.lock();
-        if batches.len() < MOST {
+        if batches.len() < MAX_QUEUED_BATCHES {
             batches.push_back(batch);
         }
         drop(batches);
@@ -160,38 +160,38 @@
 
     /// Keeps the newest records for instances that start. `is_whole` says that they are all, so that what
     /// was kept before is gone.
-    pub(crate) fn keep(&self, records: &[Record], is_whole: bool) {
-        let mut kept = self.kept.lock().expect("no holder of the lock panics");
-        if is_whole {
-            *kept = Kept {
+    pub(crate) fn cache(&self, records: &[Record], is_complete: bool) {
+        let mut cache = self.cache.lock().expect("no holder of the lock panics");
+        if is_complete {
+            *cache = Cache {
                 records: BTreeMap::new(),
-                is_whole,
+                is_complete,
             };
         }
         for record in records {
             if record.value.is_some() {
-                kept.records.insert(record.key.clone(), record.clone());
+                cache.records.insert(record.key.clone(), record.clone());
             } else {
-                kept.records.remove(&record.key);
+                cache.records.remove(&record.key);
             }
         }
-        let bytes: usize = kept.records.values().map(length).sum();
-        if bytes > LONGEST_WHOLE {
+        let bytes: usize = cache.records.values().map(record_bytes).sum();
+        if bytes > MAX_SNAPSHOT_BYTES {
             // It is not told again before the topic was read anew.
-            *kept = Kept::default();
+            *cache = Cache::default();
         }
     }
 
     /// Returns the newest records and where they end, if they were all read and are short enough.
-    pub(crate) fn kept(&self, end: Position) -> Option<Whole> {
-        let kept = self.kept.lock().expect("no holder of the lock panics");
-        let records = kept.records.values().map(|record| Told {
+    pub(crate) fn snapshot(&self, end: Position) -> Option<TopicSnapshot> {
+        let cache = self.cache.lock().expect("no holder of the lock panics");
+        let records = cache.records.values().map(|record| RelayedRecord {
             key: record.key.clone(),
             value: record.value.as_ref().map(|value| value.to_vec()),
             offset: record.offset,
             age_ms: None,
         });
-        kept.is_whole.then(|| Whole {
+        cache.is_complete.then(|| TopicSnapshot {
             end,
             age_ms: None,
             records: records.collect(),
@@ -213,6 +213,6 @@
     }
 }
 
-fn length(record: &Record) -> usize {
+fn record_bytes(record: &Record) -> usize {
     record.key.len() + record.value.as_ref().map_or(0, Bytes::len)
 }
--- a/crates/ploverwick_gateway/tests/suspended_machine.rs
+++ b/crates/ploverwick_gateway/tests/suspended_machine.rs
@@ -19,7 +19,7 @@
 
 #[gtest]
 fn suspension_counts() {
-    let clock = Clock::beside(counting);
+    let clock = Clock::with_boot_clock(counting);
     let copy = clock.clone();
     let before = clock.now();
     SUSPENDED.fetch_add(5_000, Ordering::Relaxed);
