--- a/crates/ploverwick_gateway/src/connection.rs
+++ b/crates/ploverwick_gateway/src/connection.rs
@@ -1,14 +1,14 @@
-//! What is known of one connection of a client while it lasts.
+//! The activity of a client connection.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use ploverwick_names::Moment;
 
-/// Marks a connection with a request under way.
+/// Marks a connection with a request in progress.
 const BUSY: u64 = u64::MAX;
 
-/// Since when a connection is idle.
+/// When a connection became idle, or that it is busy.
 #[derive(Debug, Clone)]
 pub(crate) struct Activity(Arc<AtomicU64>);
 
@@ -25,7 +25,7 @@
         self.0.store(now.0, Ordering::Relaxed);
     }
 
-    /// Returns since when the connection is idle; `None` while a request is under way.
+    /// Returns since when the connection has been idle; `None` while a request is in progress.
     pub(crate) fn idle_since(&self) -> Option<Moment> {
         match self.0.load(Ordering::Relaxed) {
             BUSY => None,
--- a/crates/ploverwick_gateway/src/controllers/orders.rs
+++ b/crates/ploverwick_gateway/src/controllers/orders.rs
@@ -136,10 +136,10 @@
     if let Step::Send(order) = &step
         && slots.starts_base_load(order)
     {
-        if let Some(at) = state.base_loads.next_at(&ceiling, now) {
+        if let Some(at) = state.base_load_limiter.next_at(&ceiling, now) {
             return Some((Step::Wait(at), entry, token));
         }
-        state.base_loads.record_load(now);
+        state.base_load_limiter.record_load(now);
         drop(state);
         tell::base_load(shared);
     }
--- a/crates/ploverwick_gateway/src/controllers/table.rs
+++ b/crates/ploverwick_gateway/src/controllers/table.rs
@@ -103,7 +103,7 @@
                 let now = self.shared.now();
                 let mut state = self.shared.state();
                 state.table = Some(Arc::new(table));
-                state.rates.remove_full(now);
+                state.rate_limiter.remove_full(now);
                 drop(state);
                 if let Some(previous) = &self.in_force {
                     self.superseded.insert(hash(previous));
--- a/crates/ploverwick_gateway/src/daemon.rs
+++ b/crates/ploverwick_gateway/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The process: opens its sockets, starts its tasks, and stops without cutting anybody off.
+//! The process: opens its sockets, starts its tasks and shuts down gracefully.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,39 +18,39 @@
 use crate::shared::Shared;
 use crate::{handover, listen, ready, tell};
 
-/// The time between the end of the process and the platform's kill.
-const BEFORE_KILL: Duration = Duration::from_millis(400);
-/// The least time that a stopping process takes: new connections come until the platform has seen
-/// that it is not ready.
-const LEAST_STOP: Duration = Duration::from_millis(2_700);
-/// How often a stopping process looks whether its connections are closed.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often idle connections to endpoints are swept.
-const SWEEP: Duration = Duration::from_secs(1);
+/// The margin between the end of the process and the time at which the platform kills it.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
+/// The minimum duration of a shutdown, because new connections arrive until the platform has noticed that the
+/// instance is not ready.
+const MIN_STOP_DURATION: Duration = Duration::from_millis(2_700);
+/// How often a process that shuts down checks whether its connections are closed.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How often expired connections to endpoints and expired quarantine entries are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A daemon with its sockets open.
+/// A daemon whose sockets are open.
 #[derive(Debug)]
 pub struct Daemon {
     shared: Arc<Shared>,
     front: TcpListener,
     ready: TcpListener,
-    /// Where peers that start ask.
+    /// Where peers that start request snapshots.
     handover: Option<TcpListener>,
 }
 
 impl Daemon {
-    /// Opens the sockets; a port of 0 lets the system choose.
+    /// Opens the sockets. For port 0, the system chooses a port.
     ///
     /// # Errors
     /// Fails if a socket cannot be opened.
     pub async fn open(settings: Settings) -> Result<Self> {
         let front = bind(settings.front, "front").await?;
         let ready = bind(settings.ready, "ready").await?;
-        let mail = (settings.ip, settings.peer_port).into();
-        let mail = PeerSocket::open(mail)
+        let peer_address = (settings.ip, settings.peer_port).into();
+        let peer_socket = PeerSocket::open(peer_address)
             .await
-            .context("open the peers' socket")?;
-        // Peers that start read from the store if they cannot ask here.
+            .context("open the peer socket")?;
+        // Without this socket, peers that start read from the store instead.
         let handover = bind((settings.ip, settings.peer_port).into(), "handover").await;
         let handover = handover.map_err(|error| spdlog::warn!("no_handover cause=\"{:#}\"", error));
         spdlog::info!(
@@ -61,30 +61,30 @@
             settings.first_start
         );
         Ok(Self {
-            shared: Arc::new(Shared::new(settings, mail)),
+            shared: Arc::new(Shared::new(settings, peer_socket)),
             front,
             ready,
             handover: handover.ok(),
         })
     }
 
-    /// Returns where clients connect.
+    /// Returns the address on which clients connect.
     ///
     /// # Errors
-    /// Fails if the socket does not tell.
+    /// Fails if the address of the socket cannot be determined.
     pub fn front(&self) -> std::io::Result<SocketAddr> {
         self.front.local_addr()
     }
 
-    /// Returns where the platform asks for readiness.
+    /// Returns the address that the platform probes for readiness.
     ///
     /// # Errors
-    /// Fails if the socket does not tell.
+    /// Fails if the address of the socket cannot be determined.
     pub fn ready(&self) -> std::io::Result<SocketAddr> {
         self.ready.local_addr()
     }
 
-    /// Serves until `stop` is done, then stops without cutting anybody off.
+    /// Serves until `stop` completes, then shuts down gracefully.
     pub async fn serve(self, stop: impl Future<Output = ()>) {
         let shared = self.shared;
         let open = Arc::new(OpenConnections::default());
@@ -110,14 +110,14 @@
         let front = front::serve(Arc::clone(&shared), self.front, Arc::clone(&open));
         tasks.spawn(front);
         stop.await;
-        leave(&shared, &open).await;
+        shut_down(&shared, &open).await;
     }
 }
 
-/// Runs the daemon until it gets a signal to stop.
+/// Runs the daemon until it receives a signal to stop.
 ///
 /// # Errors
-/// Fails if a socket cannot be opened or signals cannot be had.
+/// Fails if a socket cannot be opened or a signal handler cannot be installed.
 pub async fn run(settings: Settings) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("listen for SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("listen for SIGINT")?;
@@ -139,31 +139,33 @@
     listener.with_context(|| format!("listen for {what} on {address}"))
 }
 
-/// Stops: takes no new work once the platform knows, and waits for what is under way.
-async fn leave(shared: &Arc<Shared>, open: &OpenConnections) {
-    let asked = shared.now();
+/// Shuts down: accepts new requests until the platform has noticed, then waits for requests in progress.
+async fn shut_down(shared: &Arc<Shared>, open: &OpenConnections) {
+    let stop_asked_at = shared.now();
     spdlog::info!("stop_asked open={}", open.count());
     shared.stopping.send_replace(true);
-    // A later life may give orders at once, so that a turn must have passed since the last one.
-    let least = LEAST_STOP.max(shared.settings.lease);
-    let latest = shared.settings.grace.saturating_sub(BEFORE_KILL);
+    // The next process of this instance may send orders immediately, so a full lease must have passed since
+    // the last order of this one.
+    let min_duration = MIN_STOP_DURATION.max(shared.settings.lease);
+    let max_duration = shared.settings.grace.saturating_sub(KILL_MARGIN);
     let mut is_listed = true;
     loop {
-        tokio::time::sleep(LOOK).await;
-        let taken = shared.now().since(asked);
-        if is_listed && taken >= least {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+        let elapsed = shared.now().since(stop_asked_at);
+        if is_listed && elapsed >= min_duration {
             instances::retire(shared).await;
             is_listed = false;
         }
-        let is_done = taken >= least && open.count() == 0;
-        if is_done || taken >= latest {
-            spdlog::info!("stop open={} after={:?}", open.count(), taken);
+        let is_done = elapsed >= min_duration && open.count() == 0;
+        if is_done || elapsed >= max_duration {
+            spdlog::info!("stop open={} after={:?}", open.count(), elapsed);
             return;
         }
     }
 }
 
-/// Lists this instance and joins its group, once what an earlier life wrote was read.
+/// Adds this instance to the list of instances and joins its placer group, after reading the token that an
+/// earlier process stored, if it needs one.
 async fn join(shared: Arc<Shared>) {
     let token = if shared.persists_token && !shared.settings.first_start {
         instances::recall(&shared).await
@@ -176,14 +178,14 @@
 
 async fn sweep(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
-        shared.pool.sweep();
+        tokio::time::sleep(SWEEP_INTERVAL).await;
+        shared.pool.remove_expired();
         quarantine::sweep(&shared);
     }
 }
 
-/// Reads the settings again when the platform says that they changed. What is in use stays: the
-/// sockets are open, and a changed bound takes effect with the next start.
+/// Rereads and validates the settings when the platform signals that they changed. The settings in use stay,
+/// because the sockets are open already; a changed limit takes effect at the next start.
 async fn reload(mut hangup: Signal, in_use: Settings) {
     while hangup.recv().await.is_some() {
         match settings::read() {
--- a/crates/ploverwick_gateway/src/filters/admit.rs
+++ b/crates/ploverwick_gateway/src/filters/admit.rs
@@ -99,6 +99,6 @@
 fn count(shared: &Shared, service: &Arc<str>) {
     let now = shared.now();
     let mut state = shared.state();
-    let budget = state.budgets.entry(Arc::clone(service)).or_default();
+    let budget = state.retry_budgets.entry(Arc::clone(service)).or_default();
     budget.record_request(now);
 }
--- a/crates/ploverwick_gateway/src/filters/reuse.rs
+++ b/crates/ploverwick_gateway/src/filters/reuse.rs
@@ -35,6 +35,6 @@
     if head.closes {
         return;
     }
-    connection.limit = head.keep_alive.or(connection.limit);
+    connection.idle_timeout = head.keep_alive.or(connection.idle_timeout);
     shared.pool.keep(endpoint, connection);
 }
--- a/crates/ploverwick_gateway/src/filters/terms.rs
+++ b/crates/ploverwick_gateway/src/filters/terms.rs
@@ -46,7 +46,7 @@
     for limit in &found.limits {
         let (subject, column) = (&limit.subject, &limit.column);
         let taken = state
-            .rates
+            .rate_limiter
             .take_shared(subject, column, limit.rate, sharers, now);
         if let Err(wait) = taken {
             let detail = format!("adapter {key}, limit {} a second", limit.rate);
--- a/crates/ploverwick_gateway/src/front.rs
+++ b/crates/ploverwick_gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes the connections of clients.
+//! Accepts and serves client connections.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -17,17 +17,17 @@
 use crate::filters;
 use crate::shared::Shared;
 
-/// Descriptors that are left for files, the store, endpoints and peers.
-const OTHER_DESCRIPTORS: usize = 1_200;
-/// How long after the signal to stop new connections are still taken: the platform sends them
-/// until it has asked twice, once a second, and has missed the answer.
-const STILL_ACCEPT: Duration = Duration::from_millis(2_600);
-/// The pause after a connection could not be taken, most likely for want of descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// How often an idle connection is looked at.
-const LOOK: Duration = Duration::from_secs(1);
+/// The number of file descriptors reserved for files, the store, endpoints and peers.
+const RESERVED_DESCRIPTORS: usize = 1_200;
+/// How long new connections are still accepted after the signal to stop. The platform sends them until two
+/// readiness probes have failed, and it probes once a second.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
+/// The delay after a connection could not be accepted, most likely because descriptors ran out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often a connection is checked for being idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The connections that are open.
+/// The number of open client connections.
 #[derive(Debug, Default)]
 pub(crate) struct OpenConnections(AtomicUsize);
 
@@ -37,22 +37,23 @@
     }
 }
 
-/// Returns how many connections of clients may be open at once: at least half of the descriptors.
-fn most_open(settings: &Settings) -> usize {
-    let left = settings.descriptors.saturating_sub(OTHER_DESCRIPTORS);
+/// Returns the maximum number of open client connections: at least half of the file descriptors.
+fn max_connections(settings: &Settings) -> usize {
+    let left = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     left.max(settings.descriptors / 2)
 }
 
-/// Takes connections until the process stops.
+/// Accepts connections until the process stops.
 ///
-/// Where it can take no more it says that it is not ready, so that clients are sent elsewhere.
+/// While no more can be accepted, the instance reports that it is not ready, so that clients are directed
+/// elsewhere.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener, open: Arc<OpenConnections>) {
-    let most = most_open(&shared.settings);
+    let max_open = max_connections(&shared.settings);
     let mut stopping = shared.stopping.subscribe();
     let stopped = async {
         // An error means that the sender is gone, and with it the process.
         drop(stopping.wait_for(|stopping| *stopping).await);
-        tokio::time::sleep(STILL_ACCEPT).await;
+        tokio::time::sleep(ACCEPT_AFTER_STOP).await;
     };
     let mut stopped = pin!(stopped);
     loop {
@@ -61,18 +62,18 @@
             () = &mut stopped => return,
         };
         match accepted {
-            Ok((stream, _)) if open.count() < most => {
+            Ok((stream, _)) if open.count() < max_open => {
                 let shared = Arc::clone(&shared);
                 let open = Arc::clone(&open);
                 open.0.fetch_add(1, Ordering::Relaxed);
-                shared.set_accepting(open.count() < most);
+                shared.set_accepting(open.count() < max_open);
                 tokio::spawn(async move {
-                    attend(Arc::clone(&shared), stream).await;
+                    serve_connection(Arc::clone(&shared), stream).await;
                     open.0.fetch_sub(1, Ordering::Relaxed);
                     shared.set_accepting(true);
                 });
             }
-            // Closing unread is the one refusal that any client may repeat.
+            // Closing the connection before reading a request is the only refusal that every client may retry.
             Ok((stream, from)) => {
                 drop(stream);
                 spdlog::warn!("connection_refused from={} open={}", from, open.count());
@@ -80,7 +81,7 @@
             Err(error) => {
                 spdlog::warn!("accept_failed on=front cause=\"{}\"", error);
                 shared.set_accepting(false);
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 shared.set_accepting(true);
             }
         }
@@ -88,7 +89,7 @@
 }
 
 /// Serves one connection until it closes.
-async fn attend(shared: Arc<Shared>, stream: TcpStream) {
+async fn serve_connection(shared: Arc<Shared>, stream: TcpStream) {
     socket::detect_dead_client(&stream);
     let limits = {
         let state = shared.state();
@@ -106,7 +107,7 @@
     let connection = http1::Builder::new()
         .auto_date_header(false)
         .timer(TokioTimer::new())
-        // The library's limit runs while a connection is idle too, so it cannot be shorter.
+        // hyper's timeout also runs while the connection is idle, so it includes the idle timeout.
         .header_read_timeout(limits.idle_timeout + limits.header_timeout)
         .max_buf_size((limits.header_bytes * 4).max(64 * 1024))
         .serve_connection(TokioIo::new(stream), service);
@@ -114,8 +115,8 @@
     let mut stopping = shared.stopping.subscribe();
     let stopped = async {
         drop(stopping.wait_for(|stopping| *stopping).await);
-        // Clients may use an idle connection until then; each answer closes its own.
-        tokio::time::sleep(STILL_ACCEPT).await;
+        // Clients may use idle connections until then; each response closes its connection.
+        tokio::time::sleep(ACCEPT_AFTER_STOP).await;
     };
     let mut stopped = pin!(stopped);
     let mut is_closing = false;
@@ -131,15 +132,15 @@
                 is_closing = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = tokio::time::sleep(LOOK) => {
+            () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {
                 let idle = activity.idle_since().map(|since| shared.now().since(since));
-                // Other instances may serve what this one would refuse.
-                let longest = if shared.is_stale() {
+                // Other instances may serve requests that this one would refuse.
+                let max_idle = if shared.is_stale() {
                     Duration::ZERO
                 } else {
                     limits.idle_timeout
                 };
-                if !is_closing && idle.is_some_and(|idle| idle > longest) {
+                if !is_closing && idle.is_some_and(|idle| idle > max_idle) {
                     is_closing = true;
                     connection.as_mut().graceful_shutdown();
                 }
--- a/crates/ploverwick_gateway/src/handover.rs
+++ b/crates/ploverwick_gateway/src/handover.rs
@@ -1,9 +1,8 @@
-//! What an instance that starts asks its peers for, over a connection: the newest records of a topic, or the
-//! list of endpoints with what they hold.
+//! Snapshots that an instance requests from its peers over TCP when it starts: the newest records of a topic,
+//! or the list of endpoints with the adapters that they hold.
 //!
-//! Where all instances start at once, each would read all of it from the store, whose bandwidth they share:
-//! configurations of some hundred kilobytes keep them waiting for longer than a peer's word, which is
-//! compressed, takes.
+//! If all instances start at once and each reads everything from the store, they share its bandwidth.
+//! Configurations of a few hundred kilobytes then take longer to read than the compressed snapshot of a peer.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -20,16 +19,16 @@
 use crate::shared::Shared;
 use crate::topics::{Topic, TopicSnapshot};
 
-/// The longest question, in bytes.
+/// The maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 8;
-/// How long a question may take to arrive.
+/// How long a request may take to arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// The bytes before an answer's own that say how long it is once it is unpacked.
+/// The length of the prefix of a response that states its uncompressed size.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// The most bytes of an answer once it is unpacked.
+/// The maximum uncompressed size of a response.
 const MAX_RESPONSE_BYTES: u32 = 8 * 1_024 * 1_024;
 
-/// What is asked for.
+/// A request for a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum SnapshotRequest {
     /// The newest records of a topic.
@@ -38,25 +37,25 @@
     List,
 }
 
-/// What is answered.
+/// The response to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum SnapshotResponse {
     /// The newest records of a topic.
     Topic(TopicSnapshot),
     /// The list of endpoints.
     List(Vec<Entry>),
-    /// The peer has started itself and does not know it yet.
+    /// The peer does not have the data, for example because it is still starting.
     NotReady,
 }
 
-/// Answers questions for as long as the process runs.
+/// Serves requests until the process ends.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
                 let shared = Arc::clone(&shared);
                 tokio::spawn(async move {
-                    if let Err(error) = answer(&shared, stream).await {
+                    if let Err(error) = handle_connection(&shared, stream).await {
                         spdlog::debug!("handover_failed to={} cause=\"{:#}\"", from, error);
                     }
                 });
@@ -69,62 +68,63 @@
     }
 }
 
-async fn answer(shared: &Shared, mut stream: TcpStream) -> Result<()> {
-    let mut question = [0; MAX_REQUEST_BYTES];
-    let read = stream.read(&mut question);
+async fn handle_connection(shared: &Shared, mut stream: TcpStream) -> Result<()> {
+    let mut request = [0; MAX_REQUEST_BYTES];
+    let read = stream.read(&mut request);
     let length = tokio::time::timeout(REQUEST_TIMEOUT, read).await??;
-    let wanted = postcard::from_bytes(&question[..length]).context("read the question")?;
-    let given = postcard::to_stdvec(&given(shared, wanted))?;
-    let packed = lz4_flex::compress_prepend_size(&given);
-    stream.write_all(&packed).await?;
+    let requested = postcard::from_bytes(&request[..length]).context("decode the request")?;
+    let response = postcard::to_stdvec(&response(shared, requested))?;
+    let compressed = lz4_flex::compress_prepend_size(&response);
+    stream.write_all(&compressed).await?;
     stream.shutdown().await?;
     Ok(())
 }
 
-fn given(shared: &Shared, wanted: SnapshotRequest) -> SnapshotResponse {
-    let given = match wanted {
-        SnapshotRequest::Topic(topic) => whole(shared, topic).map(SnapshotResponse::Topic),
+fn response(shared: &Shared, requested: SnapshotRequest) -> SnapshotResponse {
+    let response = match requested {
+        SnapshotRequest::Topic(topic) => topic_snapshot(shared, topic).map(SnapshotResponse::Topic),
         SnapshotRequest::List => shared.state().roster_snapshot().map(SnapshotResponse::List),
     };
-    given.unwrap_or(SnapshotResponse::NotReady)
+    response.unwrap_or(SnapshotResponse::NotReady)
 }
 
-/// Returns the newest records of a topic, if this instance has them and still follows it.
-fn whole(shared: &Shared, topic: Topic) -> Option<TopicSnapshot> {
+/// Returns the newest records of a topic, unless they are not cached or the last read of the topic failed.
+fn topic_snapshot(shared: &Shared, topic: Topic) -> Option<TopicSnapshot> {
     let now = shared.now();
     let state = shared.state();
-    let stand = state.read_states.of(topic);
-    let unseen = state.watermark.unread();
+    let read_state = state.read_states.of(topic);
+    let unread = state.watermark.unread();
     drop(state);
-    if stand.reading == Reading::Fails {
+    if read_state.reading == Reading::Fails {
         return None;
     }
-    let mut whole = shared.inboxes.of(topic).snapshot(stand.end)?;
-    if let Since::NotBefore(at) = unseen {
-        whole.age_ms = u64::try_from(now.since(at).as_millis()).ok();
+    let mut snapshot = shared.inboxes.of(topic).snapshot(read_state.end)?;
+    if let Since::NotBefore(at) = unread {
+        snapshot.age_ms = u64::try_from(now.since(at).as_millis()).ok();
     }
-    Some(whole)
+    Some(snapshot)
 }
 
-/// Asks a peer.
+/// Fetches a snapshot from a peer.
 ///
 /// # Errors
-/// Fails if the peer cannot be reached, or answers what cannot be read.
+/// Fails if the peer cannot be reached, or if its response is invalid or too long.
 pub(crate) async fn fetch(
     ip: IpAddr,
     port: u16,
-    wanted: SnapshotRequest,
+    requested: SnapshotRequest,
 ) -> Result<SnapshotResponse> {
     let mut stream = TcpStream::connect(SocketAddr::new(ip, port)).await?;
-    stream.write_all(&postcard::to_stdvec(&wanted)?).await?;
-    let mut packed = Vec::new();
-    stream.read_to_end(&mut packed).await?;
-    let length = packed
+    stream.write_all(&postcard::to_stdvec(&requested)?).await?;
+    let mut compressed = Vec::new();
+    stream.read_to_end(&mut compressed).await?;
+    let length = compressed
         .first_chunk::<LENGTH_PREFIX_BYTES>()
-        .context("an empty answer")?;
+        .context("the response is too short")?;
     if u32::from_le_bytes(*length) > MAX_RESPONSE_BYTES {
-        bail!("the answer is longer than {MAX_RESPONSE_BYTES} bytes");
+        bail!("the uncompressed response is longer than {MAX_RESPONSE_BYTES} bytes");
     }
-    let given = lz4_flex::decompress_size_prepended(&packed).context("unpack the answer")?;
-    postcard::from_bytes(&given).context("read the answer")
+    let response =
+        lz4_flex::decompress_size_prepended(&compressed).context("decompress the response")?;
+    postcard::from_bytes(&response).context("decode the response")
 }
--- a/crates/ploverwick_gateway/src/incarnations.rs
+++ b/crates/ploverwick_gateway/src/incarnations.rs
@@ -1,44 +1,44 @@
-//! The lives of endpoints that are known, by the platform's identifier that they share.
+//! An index of the known incarnations of endpoints by the platform's identifier that they share.
 //!
-//! Each heartbeat is looked at beside the other lives of its endpoint. Without an index a read of the list would
-//! take the square of the endpoints: nine million comparisons for 3,000 of them.
+//! Each heartbeat is compared with the other incarnations of its endpoint. Without an index, reading the list
+//! would take quadratic time: nine million comparisons for 3,000 endpoints.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use ploverwick_platform::roster;
 
-/// The lives of endpoints; one each, but for a moment after a restart.
+/// The incarnations of endpoints: one per endpoint, except for a short time after a restart.
 #[derive(Debug, Default)]
 pub(crate) struct Incarnations(HashMap<Arc<str>, Vec<Arc<str>>>);
 
 impl Incarnations {
-    /// Adds a life, if it is not known yet.
+    /// Adds an incarnation, if it is not known yet.
     pub(crate) fn add(&mut self, id: &Arc<str>) {
-        let instance = roster::platform_id(id);
-        match self.0.get_mut(instance) {
-            Some(lives) if lives.contains(id) => {}
-            Some(lives) => lives.push(Arc::clone(id)),
+        let platform_id = roster::platform_id(id);
+        match self.0.get_mut(platform_id) {
+            Some(incarnations) if incarnations.contains(id) => {}
+            Some(incarnations) => incarnations.push(Arc::clone(id)),
             None => {
-                self.0.insert(Arc::from(instance), vec![Arc::clone(id)]);
+                self.0.insert(Arc::from(platform_id), vec![Arc::clone(id)]);
             }
         }
     }
 
-    /// Removes a life.
+    /// Removes an incarnation.
     pub(crate) fn remove(&mut self, id: &str) {
-        let instance = roster::platform_id(id);
-        let Some(lives) = self.0.get_mut(instance) else {
+        let platform_id = roster::platform_id(id);
+        let Some(incarnations) = self.0.get_mut(platform_id) else {
             return;
         };
-        lives.retain(|life| **life != *id);
-        if lives.is_empty() {
-            self.0.remove(instance);
+        incarnations.retain(|incarnation| **incarnation != *id);
+        if incarnations.is_empty() {
+            self.0.remove(platform_id);
         }
     }
 
-    /// Returns the lives of an endpoint.
-    pub(crate) fn of(&self, instance: &str) -> &[Arc<str>] {
-        self.0.get(instance).map_or(&[], Vec::as_slice)
+    /// Returns the incarnations of an endpoint.
+    pub(crate) fn of(&self, platform_id: &str) -> &[Arc<str>] {
+        self.0.get(platform_id).map_or(&[], Vec::as_slice)
     }
 }
--- a/crates/ploverwick_gateway/src/lib.rs
+++ b/crates/ploverwick_gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon in front of the users' platform.
+//! The gateway daemon in front of the users' platform.
 //!
-//! Thin tasks around the decision crates: controllers follow the platform's store and keep the
-//! shared state, a chain of filters takes each request from a client to an endpoint and back.
+//! Thin tasks around the crates that make the decisions: controllers follow the platform's store and update the
+//! shared state, and a chain of filters takes each request from a client to an endpoint and back.
 
 pub mod clock;
 mod connection;
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -1,4 +1,4 @@
-//! Takes in what other instances tell.
+//! Receives messages from other instances.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -13,29 +13,29 @@
 use crate::tell;
 use crate::topics::Topic;
 
-/// Takes in messages for as long as the process runs.
+/// Receives messages until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut buffer = vec![0; 64 * 1024];
     loop {
         if let Some((message, from)) = shared.peer_socket.receive(&mut buffer).await {
-            pass_on(&shared, &message, from);
-            take(&shared, message, from);
+            relay(&shared, &message, from);
+            handle_message(&shared, message, from);
         }
     }
 }
 
-/// Passes on what is told of endpoints elsewhere, if this instance places adapters.
-fn pass_on(shared: &Shared, message: &Message, from: IpAddr) {
+/// Relays a message on endpoints of another failure domain, if this instance is the placer of its own.
+fn relay(shared: &Shared, message: &Message, from: IpAddr) {
     if !message.is_relayed() {
         return;
     }
     let now = shared.now();
     let state = shared.state();
     let sender = state.peers.values().find(|peer| peer.ip == from);
-    let is_far = sender.is_some_and(|peer| peer.domain != shared.settings.domain);
-    let places = state.placer_lease.token(now).is_some();
+    let is_remote = sender.is_some_and(|peer| peer.domain != shared.settings.domain);
+    let is_placer = state.placer_lease.token(now).is_some();
     drop(state);
-    if !is_far || !places {
+    if !is_remote || !is_placer {
         return;
     }
     match message {
@@ -44,7 +44,7 @@
     }
 }
 
-fn take(shared: &Arc<Shared>, message: Message, from: IpAddr) {
+fn handle_message(shared: &Arc<Shared>, message: Message, from: IpAddr) {
     let now = shared.now();
     match message {
         Message::Status {
@@ -65,10 +65,10 @@
                 waiting,
                 read_states,
             };
-            status(shared, instance, peer, loads);
+            handle_status(shared, instance, peer, loads);
         }
-        Message::LoadTotals(loads) => totals(shared, loads),
-        Message::AdapterUses(list) => used(shared, &list, from),
+        Message::LoadTotals(loads) => handle_totals(shared, loads),
+        Message::AdapterUses(list) => handle_uses(shared, &list, from),
         Message::Need { copy, need } => demand::take(shared, &copy, need),
         Message::EndpointReport { endpoint, adapters } => {
             let copies = messages::copies(adapters);
@@ -78,9 +78,9 @@
                 .apply_report(&endpoint, copies, now);
             shared.placement_changed.notify_waiters();
         }
-        Message::EndpointDigests(digests) => compare(shared, &digests, from),
+        Message::EndpointDigests(digests) => handle_digests(shared, &digests, from),
         Message::EndpointReportRequest(endpoints) => tell::holds(shared, from, &endpoints),
-        Message::Changes(changes) => changed(shared, changes),
+        Message::Changes(changes) => handle_changes(shared, changes),
         Message::RosterUpdate {
             changed,
             removed,
@@ -96,7 +96,7 @@
         } => freshness::hear(shared, query_id, end, Duration::from_millis(age_ms)),
         Message::QuotaLease { query_id, lease } => quotas::lent(shared, from, query_id, &lease),
         Message::QuotaGrants { query_id, grants } => quotas::given(shared, from, query_id, &grants),
-        Message::BaseLoad => shared.state().base_loads.record_load(now),
+        Message::BaseLoad => shared.state().base_load_limiter.record_load(now),
         Message::LeaseReleased => shared.lease_released.notify_one(),
         Message::QuarantineEntries(entries) => quarantine::hear(shared, &entries, &from),
         Message::EndpointLimitsRequest => {
@@ -114,8 +114,8 @@
     }
 }
 
-/// Takes in that a peer runs, how far it has read, and what it has under way.
-fn status(shared: &Shared, instance: Arc<str>, peer: Peer, loads: Vec<EndpointLoad>) {
+/// Records that a peer is alive, how far it has read, and its requests in progress.
+fn handle_status(shared: &Shared, instance: Arc<str>, peer: Peer, loads: Vec<EndpointLoad>) {
     for topic in Topic::ALL {
         shared
             .inboxes
@@ -133,8 +133,8 @@
     state.fleet.record_report(instance, loads.collect(), now);
 }
 
-/// Takes in the requests of all instances at endpoints.
-fn totals(shared: &Shared, loads: Vec<EndpointLoad>) {
+/// Records the requests of all instances at endpoints.
+fn handle_totals(shared: &Shared, loads: Vec<EndpointLoad>) {
     let now = shared.now();
     let mut state = shared.state();
     for load in loads {
@@ -143,19 +143,19 @@
     }
 }
 
-/// Takes in which adapters a peer's requests use.
-fn used(shared: &Shared, list: &[AdapterUse], from: IpAddr) {
+/// Records which adapters a peer's requests use.
+fn handle_uses(shared: &Shared, list: &[AdapterUse], from: IpAddr) {
     let now = shared.now();
     let mut state = shared.state();
-    for used in list {
-        if let Some(slots) = state.placer.slots(&used.endpoint) {
-            slots.record_use(&used.copy, from, used.in_use, now);
+    for adapter_use in list {
+        if let Some(slots) = state.placer.slots(&adapter_use.endpoint) {
+            slots.record_use(&adapter_use.copy, from, adapter_use.in_use, now);
         }
     }
 }
 
-/// Takes in what happened to adapters at endpoints.
-fn changed(shared: &Shared, changes: Vec<Change>) {
+/// Applies changes of adapters at endpoints.
+fn handle_changes(shared: &Shared, changes: Vec<Change>) {
     let now = shared.now();
     let mut state = shared.state();
     for change in changes {
@@ -174,23 +174,24 @@
     shared.placement_changed.notify_waiters();
 }
 
-/// Asks for what this instance holds another view of; a message may have been lost.
-fn compare(shared: &Shared, digests: &[EndpointDigest], from: IpAddr) {
+/// Requests reports of the endpoints whose digests differ from this instance's view, because a message may
+/// have been lost.
+fn handle_digests(shared: &Shared, digests: &[EndpointDigest], from: IpAddr) {
     let now = shared.now();
     let mut state = shared.state();
-    let mut differ = Vec::new();
-    for told in digests {
-        if state.fleet.entry(&told.endpoint).is_none() {
+    let mut differing = Vec::new();
+    for received in digests {
+        if state.fleet.entry(&received.endpoint).is_none() {
             continue;
         }
-        if state.directory.digest(&told.endpoint) == Some(told.digest) {
-            state.directory.confirm_report(&told.endpoint, now);
+        if state.directory.digest(&received.endpoint) == Some(received.digest) {
+            state.directory.confirm_report(&received.endpoint, now);
         } else {
-            differ.push(Arc::clone(&told.endpoint));
+            differing.push(Arc::clone(&received.endpoint));
         }
     }
     drop(state);
-    if !differ.is_empty() {
-        tell::ask_holds(shared, from, differ);
+    if !differing.is_empty() {
+        tell::ask_holds(shared, from, differing);
     }
 }
--- a/crates/ploverwick_gateway/src/logging.rs
+++ b/crates/ploverwick_gateway/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured logs on the standard output.
 //!
-//! One line for each decision, as `event key=value ..`. Lines are written by a thread of their own
-//! through a bounded queue, and a full queue drops lines, so that logging never blocks a request.
+//! Each decision is logged as one line, `event key=value ..`. A separate thread writes the lines from a bounded
+//! queue. New lines are dropped while the queue is full, so that logging never blocks a request.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -11,39 +11,43 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, StdStreamSink};
 use spdlog::{LevelFilter, Logger, ThreadPool};
 
-/// Lines that wait to be written.
-const QUEUE: usize = 4_096;
-/// Lines about single requests a second; a burst writes no more, and the rest is counted.
-const LINES_PER_S: u32 = 120;
+/// The maximum number of lines that wait to be written.
+const QUEUE_LINES: usize = 4_096;
+/// The maximum number of lines per second about single requests. Lines beyond it are dropped and counted.
+const MAX_LINES_PER_S: u32 = 120;
 
-/// Makes the default logger, which writes to the standard output.
+/// Installs the default logger, which writes to the standard output.
 ///
 /// # Errors
-/// Fails if the stream cannot be written to.
+/// Fails if the logger cannot be built.
 pub fn set_up() -> Result<()> {
     let stream = StdStreamSink::builder().stdout().build();
     let stream = stream.context("open the log stream")?;
     let pool = ThreadPool::builder()
-        .capacity(QUEUE.try_into().context("the queue has room")?)
+        .capacity(
+            QUEUE_LINES
+                .try_into()
+                .context("the queue capacity must not be zero")?,
+        )
         .build()
-        .context("start the log's thread")?;
+        .context("start the log thread")?;
     let sink = AsyncPoolSink::builder()
         .sink(Arc::new(stream))
         .thread_pool(Arc::new(pool))
         .overflow_policy(OverflowPolicy::DropIncoming)
         .build()
-        .context("make the log's queue")?;
+        .context("build the log queue")?;
     let logger = Logger::builder()
         .sink(Arc::new(sink))
         .level_filter(LevelFilter::All)
         .flush_level_filter(LevelFilter::All)
         .build()
-        .context("make the logger")?;
+        .context("build the logger")?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
 
-/// Bounds the lines about single requests.
+/// Limits the rate of log lines about single requests.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimiter {
     second: AtomicU64,
@@ -52,7 +56,7 @@
 }
 
 impl LogLimiter {
-    /// Returns whether another line may be written now.
+    /// Returns whether another line may be written now, and counts it.
     pub(crate) fn allow(&self, now: Moment) -> bool {
         let second = now.0 / 1_000;
         if self.second.swap(second, Ordering::Relaxed) != second {
@@ -62,7 +66,7 @@
                 spdlog::warn!("lines_dropped count={}", dropped);
             }
         }
-        let is_allowed = self.written.fetch_add(1, Ordering::Relaxed) < LINES_PER_S;
+        let is_allowed = self.written.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_S;
         if !is_allowed {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
@@ -70,33 +74,37 @@
     }
 }
 
-/// Logs the start and the end of a time in which something fails, not every try.
+/// Logs the start and the end of an outage of a dependency, instead of every failed call.
 #[derive(Debug)]
 pub(crate) struct Outage {
-    what: &'static str,
-    lasting: bool,
+    dependency: &'static str,
+    is_ongoing: bool,
 }
 
 impl Outage {
-    pub(crate) fn new(what: &'static str) -> Self {
+    pub(crate) fn new(dependency: &'static str) -> Self {
         Self {
-            what,
-            lasting: false,
+            dependency,
+            is_ongoing: false,
         }
     }
 
-    /// Says that it works; returns whether it failed before.
+    /// Records a successful call; returns whether it ends an outage.
     pub(crate) fn record_success(&mut self) -> bool {
-        let was_lasting = std::mem::take(&mut self.lasting);
-        if was_lasting {
-            spdlog::info!("dependency_back what={}", self.what);
+        let was_ongoing = std::mem::take(&mut self.is_ongoing);
+        if was_ongoing {
+            spdlog::info!("dependency_back what={}", self.dependency);
         }
-        was_lasting
+        was_ongoing
     }
 
     pub(crate) fn record_failure(&mut self, cause: &dyn std::fmt::Display) {
-        if !std::mem::replace(&mut self.lasting, true) {
-            spdlog::warn!("dependency_lost what={} cause=\"{}\"", self.what, cause);
+        if !std::mem::replace(&mut self.is_ongoing, true) {
+            spdlog::warn!(
+                "dependency_lost what={} cause=\"{}\"",
+                self.dependency,
+                cause
+            );
         }
     }
 }
--- a/crates/ploverwick_gateway/src/main.rs
+++ b/crates/ploverwick_gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon in front of the users' platform, and the operators' commands for it.
+//! The gateway daemon in front of the users' platform, and the operators' commands.
 
 use std::process::ExitCode;
 
@@ -19,7 +19,7 @@
 
 fn run() -> Result<()> {
     let flags = flags::Gateway::from_env_or_exit();
-    // One thread: an instance has a part of one core.
+    // One thread is enough because an instance has only a fraction of a core.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -38,16 +38,16 @@
                 ploverwick_gateway::run(settings).await
             })
         }
-        GatewayCmd::Table(flags) => runtime.block_on(operate(flags.subcommand)),
-        GatewayCmd::Quarantine(flags) => runtime.block_on(review(flags.subcommand)),
+        GatewayCmd::Table(flags) => runtime.block_on(run_table(flags.subcommand)),
+        GatewayCmd::Quarantine(flags) => runtime.block_on(run_quarantine(flags.subcommand)),
     }
 }
 
-async fn review(command: QuarantineCmd) -> Result<()> {
+async fn run_quarantine(command: QuarantineCmd) -> Result<()> {
     match command {
         QuarantineCmd::List(flags) => {
-            for case in quarantine::list(flags.store).await? {
-                println!("{} refused {} s ago", case.fingerprint, case.age_s);
+            for entry in quarantine::list(flags.store).await? {
+                println!("{} refused {} s ago", entry.fingerprint, entry.age_s);
             }
         }
         QuarantineCmd::Release(flags) => {
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-async fn operate(command: TableCmd) -> Result<()> {
+async fn run_table(command: TableCmd) -> Result<()> {
     match command {
         TableCmd::Show(flags) => {
             let published = table::show(flags.store).await?;
@@ -81,33 +81,33 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Serves clients of the users' platform, and publishes the operators' table there.
+        /// The gateway in front of the users' platform, with commands for the operators.
         cmd gateway {
-            /// Serves. The settings file is the one that the platform names.
+            /// Runs the daemon. The platform provides the path of the settings file.
             default cmd serve {
-                /// Checks the settings, prints them and ends.
+                /// Checks the settings, prints them and exits.
                 optional --check
-                /// Serves counters and histograms on this port of the instance's address.
+                /// Serves metrics on this port of the instance's address.
                 optional --metrics port: u16
             }
-            /// Shows the requests that are refused as endpoints crashed under them.
+            /// Lists or releases requests that are refused because endpoints crashed on them.
             cmd quarantine {
-                /// Prints them, the last refused first.
+                /// Prints the refused requests, the most recent first.
                 cmd list {
                     /// The store, as IP:PORT.
                     required --store store: SocketAddr
                 }
-                /// Lets one through again, after it or the endpoints were mended.
+                /// Releases a request, after it or the endpoints were fixed.
                 cmd release {
-                    /// The fingerprint, as the list and the log show it.
+                    /// The fingerprint, as printed by the list and in the log.
                     required fingerprint: String
                     /// The store, as IP:PORT.
                     required --store store: SocketAddr
                 }
             }
-            /// Works on the operators' table in the platform's store.
+            /// Shows or publishes the operators' table in the platform's store.
             cmd table {
-                /// Prints the published table as CSV, and its version on the error stream.
+                /// Prints the published table as CSV, and its version on standard error.
                 cmd show {
                     /// The store, as IP:PORT.
                     required --store store: SocketAddr
@@ -118,7 +118,7 @@
                     required file: PathBuf
                     /// The store, as IP:PORT.
                     required --store store: SocketAddr
-                    /// The version that the file was made from; 0 for the first table.
+                    /// The version that the file is based on; 0 for the first table.
                     required --base base: u64
                 }
             }
--- a/crates/ploverwick_gateway/src/messages.rs
+++ b/crates/ploverwick_gateway/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: single datagrams, encoded with postcard.
 //!
-//! A lost message does no harm: loads are repeated, holdings are compared by digests, and a question
-//! is asked again.
+//! A lost message does no harm: loads are sent repeatedly, digests reveal differences in what endpoints
+//! hold, and queries are sent again.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -19,10 +19,10 @@
 use crate::metrics;
 use crate::topics::{Batch, ReadStates, Topic};
 
-/// The longest datagram; longer ones would be cut into packets by the network.
+/// The maximum size of a datagram; the network would fragment larger ones.
 const MAX_DATAGRAM_BYTES: usize = 1_300;
 
-/// An adapter at an endpoint and the requests of the sender that use it.
+/// An adapter at an endpoint and the number of the sender's requests that use it.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct AdapterUse {
     pub(crate) endpoint: Arc<str>,
@@ -37,12 +37,12 @@
     adapters: Vec<(Arc<str>, u64)>,
 }
 
-/// What is under way at an endpoint.
+/// The requests in progress at an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct EndpointLoad {
     pub(crate) endpoint: Arc<str>,
     pub(crate) requests: u32,
-    /// The tokens of prompts that no answer has begun for.
+    /// The number of prompt tokens of requests whose answer has not begun.
     pub(crate) reading: u32,
 }
 
@@ -63,25 +63,25 @@
     }
 }
 
-/// The digest of what an endpoint holds.
+/// The digest of the adapters that an endpoint holds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct EndpointDigest {
     pub(crate) endpoint: Arc<str>,
     pub(crate) digest: u64,
 }
 
-/// What happened to an adapter at an endpoint.
+/// How an adapter changed at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ChangeKind {
-    /// It is on its way there.
+    /// The endpoint is loading it.
     Loading,
-    /// The endpoint holds it from now on.
+    /// The endpoint now holds it.
     Loaded,
-    /// The endpoint does not hold it any more.
+    /// The endpoint no longer holds it.
     Unloaded,
 }
 
-/// A change at an endpoint.
+/// A change of an adapter at an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Change {
     pub(crate) endpoint: Arc<str>,
@@ -89,85 +89,86 @@
     pub(crate) kind: ChangeKind,
 }
 
-/// What an answer names so that the asker knows to which question it belongs, and when it asked.
+/// Identifies a query; an answer repeats it, which tells the sender of the query when it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct QueryId {
-    /// Drawn anew by each process: moments of an earlier one mean nothing to the next.
+    /// A random number of the process, because moments of an earlier process mean nothing to the next.
     pub(crate) process: u64,
-    /// When it was asked, by the asker's clock.
+    /// When it was sent, by the sender's clock.
     pub(crate) sent_at: Moment,
 }
 
-/// What one instance tells another.
+/// A message from one instance to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// It runs, and has these requests under way at endpoints.
+    /// The sender is alive and has these requests in progress at endpoints.
     Status {
         instance: Arc<str>,
         domain: Arc<str>,
-        /// The part of a processor that it has, in thousandths of a core.
+        /// Its CPU capacity in thousandths of a core.
         capacity: u32,
+        /// Its fencing token, if it is the placer of its failure domain.
         placer_token: Option<u64>,
-        /// The adapters that wait for a place, if it places them.
+        /// The number of adapters that wait for placement, if it is the placer.
         waiting: u32,
-        /// How far it has read each topic of the store, and whether it reads it for others.
+        /// How far it has read each topic of the store, and whether it reads for others.
         read_states: ReadStates,
         loads: Vec<EndpointLoad>,
     },
-    /// The requests of all instances at endpoints of a placer's failure domain.
+    /// The requests in progress, over all instances, at endpoints of a placer's failure domain.
     LoadTotals(Vec<EndpointLoad>),
-    /// Its requests use these adapters.
+    /// The adapters that the sender's requests use.
     AdapterUses(Vec<AdapterUse>),
     /// A request needs an adapter.
     Need { copy: Copy, need: Need },
-    /// An endpoint holds these adapters and no others.
+    /// The complete list of adapters that an endpoint holds.
     EndpointReport {
         endpoint: Arc<str>,
         adapters: Vec<ModelAdapters>,
     },
-    /// Digests of what endpoints hold; whoever has another one asks.
+    /// Digests of the adapters that endpoints hold; a receiver with a different digest requests a report.
     EndpointDigests(Vec<EndpointDigest>),
-    /// Asks what these endpoints hold.
+    /// Requests reports of what these endpoints hold.
     EndpointReportRequest(Vec<Arc<str>>),
-    /// What changed at endpoints, in this order.
+    /// Changes of adapters at endpoints, in order.
     Changes(Vec<Change>),
-    /// What changed in the list of endpoints, and the digest of all of it.
+    /// Changes in the list of endpoints, and the digest of the whole list.
     RosterUpdate {
         changed: Vec<Entry>,
         removed: Vec<Arc<str>>,
         digest: u64,
     },
-    /// What the sender read of a topic of the store.
+    /// Records that the sender has read from a topic of the store.
     Records(Batch),
-    /// How far the sender has read a topic of the store, whose last record is too long for a message.
+    /// How far the sender has read a topic of the store whose last record is too long for a message.
     TopicEnd { topic: Topic, end: Position },
-    /// Asks what is proven of the age of the configuration.
+    /// Requests a proof of the configuration's age.
     ProofRequest { query_id: QueryId },
-    /// Answers a question: what the operator's topic held before `end` was all of it, `age_ms` before.
+    /// Answers `ProofRequest`: `age_ms` ago, the operator's topic held no records at or after `end`.
     Proof {
         query_id: QueryId,
         end: Position,
         age_ms: u64,
     },
-    /// Lends the sender's parts of all quotas, and asks for what its requests need.
+    /// Leases the sender's shares of all quotas to the receiver's pool, and requests what its own requests need.
     QuotaLease { query_id: QueryId, lease: Lease },
-    /// Answers that: what the sender's pool grants.
+    /// Answers `QuotaLease` with the grants of the sender's pool.
     QuotaGrants {
         query_id: QueryId,
         grants: Vec<Grant>,
     },
-    /// The sender has a base model loaded at an endpoint of its failure domain.
+    /// The sender is having a base model loaded at an endpoint of its failure domain.
     BaseLoad,
-    /// The sender no longer places the adapters of its failure domain.
+    /// The sender is no longer the placer of its failure domain.
     LeaseReleased,
-    /// The crashes that are counted against requests.
+    /// Quarantine entries: the crashes that are counted against requests.
     QuarantineEntries(Vec<ploverwick_quarantine::Entry>),
-    /// Asks which limits of endpoints the receiver knows.
+    /// Requests the limits of endpoints that the receiver knows.
     EndpointLimitsRequest,
     /// The limits of endpoints.
     EndpointLimits(Vec<LimitUpdate>),
-    /// Digests of all crashes that the sender counts against requests; whoever has others tells what
-    /// differs, and, if it was asked, its own digests.
+    /// Digests of all crashes that the sender counts against requests. A receiver whose digests differ sends
+    /// the differing entries and, if `wants_reply`, its own digests.
     QuarantineDigests {
         digests: [u64; DIGEST_BUCKETS],
         wants_reply: bool,
@@ -177,13 +178,13 @@
 }
 
 impl Message {
-    /// Makes the message that says what an endpoint holds.
+    /// Creates the report of the adapters that an endpoint holds.
     pub(crate) fn endpoint_report(endpoint: &Arc<str>, copies: &[Copy]) -> Self {
         let mut models: Vec<ModelAdapters> = Vec::new();
         for copy in copies {
             let adapter = (Arc::clone(&copy.key.adapter), copy.version);
             match models.iter_mut().find(|h| h.model == copy.key.model) {
-                Some(holding) => holding.adapters.push(adapter),
+                Some(model_adapters) => model_adapters.adapters.push(adapter),
                 None => models.push(ModelAdapters {
                     model: Arc::clone(&copy.key.model),
                     adapters: vec![adapter],
@@ -196,8 +197,8 @@
         }
     }
 
-    /// Returns whether a placer passes this on to its failure domain when it comes from another one:
-    /// what is known of endpoints crosses between two domains once and not once for each instance.
+    /// Returns whether a placer relays this message from another failure domain to its own, so that information
+    /// on endpoints crosses between two domains once instead of once per instance.
     pub(crate) fn is_relayed(&self) -> bool {
         match self {
             Self::LoadTotals(_)
@@ -226,32 +227,35 @@
     }
 }
 
-/// Lists the adapters of holdings.
+/// Returns the adapters of a report.
 pub(crate) fn copies(adapters: Vec<ModelAdapters>) -> Vec<Copy> {
-    let copies = adapters.into_iter().flat_map(|holding| {
-        let model = holding.model;
-        holding.adapters.into_iter().map(move |(adapter, version)| {
-            let key = Key {
-                model: Arc::clone(&model),
-                adapter,
-            };
-            Copy { key, version }
-        })
+    let copies = adapters.into_iter().flat_map(|model_adapters| {
+        let model = model_adapters.model;
+        model_adapters
+            .adapters
+            .into_iter()
+            .map(move |(adapter, version)| {
+                let key = Key {
+                    model: Arc::clone(&model),
+                    adapter,
+                };
+                Copy { key, version }
+            })
     });
     copies.collect()
 }
 
-/// The socket for messages.
+/// The UDP socket for messages between instances.
 #[derive(Debug)]
 pub(crate) struct PeerSocket {
     socket: UdpSocket,
-    /// The port of all instances.
+    /// The port that all instances use.
     port: u16,
     parts: Mutex<Reassembler>,
 }
 
 impl PeerSocket {
-    /// Opens the socket on an address whose port all instances use.
+    /// Binds the socket to an address whose port all instances use.
     pub(crate) async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(address).await?;
         Ok(Self {
@@ -285,14 +289,14 @@
     fn send_datagram(&self, bytes: &[u8], to: &[IpAddr]) {
         metrics::datagrams(to.len(), bytes.len());
         for ip in to {
-            // A full socket loses a message, as the network may.
+            // A full send buffer drops the message, as the network may.
             if let Err(error) = self.socket.try_send_to(bytes, (*ip, self.port).into()) {
                 spdlog::debug!("message_lost to={} cause=\"{}\"", ip, error);
             }
         }
     }
 
-    /// Waits for the next datagram; `None` if it could not be read, or is not the last part of a message.
+    /// Waits for the next datagram; returns `None` if it could not be read or does not complete a message.
     pub(crate) async fn receive(&self, buffer: &mut [u8]) -> Option<(Message, IpAddr)> {
         let (length, from) = match self.socket.recv_from(buffer).await {
             Ok(received) => received,
--- a/crates/ploverwick_gateway/src/metrics.rs
+++ b/crates/ploverwick_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, as text for a scraper.
+//! Metrics in the Prometheus text format.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -24,22 +24,22 @@
 use crate::topics::{ReadState, Topic};
 
 /// The path of the metrics.
-const PATH: &str = "/metrics";
-/// How often samples are folded into the histograms; between, each takes memory.
-const UPKEEP: Duration = Duration::from_secs(2);
-/// Upper bounds of latency buckets in seconds, around the objectives of 0.15 to 1 s.
-const SECONDS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 5.0];
+const METRICS_PATH: &str = "/metrics";
+/// How often samples are merged into the histograms; until then, each sample occupies memory.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(2);
+/// The upper bounds of the latency buckets in seconds, around the objectives of 0.15 to 1 s.
+const LATENCY_BUCKETS_S: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 2.0, 5.0];
 
-/// Starts to count, and serves the counts on `address`.
+/// Installs the metrics recorder and serves the metrics on `address`.
 ///
 /// # Errors
-/// Fails if the port cannot be had or counting was started before.
+/// Fails if the address cannot be bound or a recorder is already installed.
 pub async fn serve(address: SocketAddr) -> Result<()> {
     let handle = PrometheusBuilder::new()
-        .set_buckets(&SECONDS)
+        .set_buckets(&LATENCY_BUCKETS_S)
         .context("set the buckets")?
         .install_recorder()
-        .context("start to count")?;
+        .context("install the metrics recorder")?;
     let listener = TcpListener::bind(address).await;
     let listener = listener.with_context(|| format!("listen for metrics on {address}"))?;
     tokio::spawn(upkeep(handle.clone()));
@@ -49,7 +49,7 @@
 
 async fn upkeep(handle: PrometheusHandle) {
     loop {
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         handle.run_upkeep();
     }
 }
@@ -60,17 +60,17 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 spdlog::warn!("accept_failed on=metrics cause=\"{}\"", error);
-                tokio::time::sleep(UPKEEP).await;
+                tokio::time::sleep(UPKEEP_INTERVAL).await;
                 continue;
             }
         };
         let handle = handle.clone();
         tokio::spawn(async move {
-            let answer = service_fn(|request| {
-                let response = answer(&handle, &request);
+            let service = service_fn(|request| {
+                let response = response(&handle, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), answer);
+            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
                 spdlog::debug!("metrics_connection_broke cause=\"{}\"", error);
             }
@@ -78,8 +78,8 @@
     }
 }
 
-fn answer(handle: &PrometheusHandle, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    if request.uri().path() != PATH {
+fn response(handle: &PrometheusHandle, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    if request.uri().path() != METRICS_PATH {
         let mut response = Response::new(Full::default());
         *response.status_mut() = StatusCode::NOT_FOUND;
         return response;
@@ -87,23 +87,23 @@
     Response::new(Full::new(Bytes::from(handle.render())))
 }
 
-/// Counts a request that ended, by the status that the client got.
-pub(crate) fn request(status: StatusCode, taken: Duration) {
+/// Counts a completed request by the status that the client received.
+pub(crate) fn request(status: StatusCode, elapsed: Duration) {
     counter!("ploverwick_requests_total", "status" => status.as_str().to_owned()).increment(1);
-    histogram!("ploverwick_head_seconds").record(taken.as_secs_f64());
+    histogram!("ploverwick_head_seconds").record(elapsed.as_secs_f64());
 }
 
-/// Counts a send to an endpoint, by how it ended.
+/// Counts a send to an endpoint by its outcome.
 pub(crate) fn send(ending: &'static str) {
     counter!("ploverwick_sends_total", "ending" => ending).increment(1);
 }
 
-/// Counts a send to an endpoint that has named a limit.
+/// Counts a send to an endpoint that has set a limit.
 pub(crate) fn limited_send() {
     counter!("ploverwick_limited_sends_total").increment(1);
 }
 
-/// Says how many endpoints have named a limit, as far as this instance knows.
+/// Sets the number of endpoints that this instance knows to have set a limit.
 pub(crate) fn endpoint_limits(endpoints: usize) {
     gauge!("ploverwick_endpoint_limits").set(endpoints as f64);
 }
@@ -118,48 +118,49 @@
     counter!("ploverwick_endpoint_pauses_total").increment(1);
 }
 
-/// Counts a repeat that was wanted, by whether the budget had one left.
+/// Counts a requested retry by whether the budget allowed it.
 pub(crate) fn retry(is_granted: bool) {
     let ending = if is_granted { "granted" } else { "refused" };
     counter!("ploverwick_repeats_total", "ending" => ending).increment(1);
 }
 
-/// Counts requests whose connections to an endpoint broke, by what became of the endpoint.
+/// Counts requests whose connections to an endpoint broke, by the diagnosis of the endpoint.
 pub(crate) fn broken(diagnosis: Diagnosis, requests: usize) {
     counter!("ploverwick_broken_requests_total", "endpoint" => diagnosis.name())
         .increment(requests as u64);
 }
 
-/// Counts a request that was refused as endpoints crash under it.
+/// Counts a request that was refused because endpoints crash on it.
 pub(crate) fn fatal_refused() {
     counter!("ploverwick_fatal_refused_total").increment(1);
 }
 
-/// Says how old the configuration can be, as far as that is proven.
+/// Sets the proven maximum age of the configuration; `None` if there is no proof.
 pub(crate) fn configuration_age(age: Option<Duration>) {
     let seconds = age.map_or(f64::INFINITY, |age| age.as_secs_f64());
     gauge!("ploverwick_configuration_age_seconds").set(seconds);
 }
 
-/// Counts a request that was refused for its key, by the cause.
+/// Counts a request that was refused because of its key, by cause.
 pub(crate) fn key_refused(cause: &'static str) {
     counter!("ploverwick_keys_refused_total", "cause" => cause).increment(1);
 }
 
-/// Says what an organisation may use over all instances. Names come from the configuration alone.
+/// Sets an organisation's quota over all instances. Only organisations in the configuration become labels.
 pub(crate) fn quota(organisation: &Arc<str>, rate: f64, burst: f64) {
     let label = organisation.to_string();
     gauge!("ploverwick_quota_rate", "organisation" => label.clone()).set(rate);
     gauge!("ploverwick_quota_burst", "organisation" => label).set(burst);
 }
 
-/// Counts what an organisation's requests counted as. Names come from the configuration alone.
+/// Counts the quota units that an organisation's requests used. Only organisations in the configuration
+/// become labels.
 pub(crate) fn quota_units(organisation: &Arc<str>, cost: u32) {
     counter!("ploverwick_quota_units_total", "organisation" => organisation.to_string())
         .increment(cost.into());
 }
 
-/// Counts a request that was refused for its organisation's quota.
+/// Counts a request that was refused because of its organisation's quota.
 pub(crate) fn quota_refused(organisation: &Arc<str>, code: Code) {
     counter!(
         "ploverwick_quota_refused_total",
@@ -169,42 +170,42 @@
     .increment(1);
 }
 
-/// Says which part of all quotas this instance pools, and for how many instances.
+/// Sets the share of all quotas that this instance pools, and the number of instances that lease to it.
 pub(crate) fn quota_pool(share: f64, lenders: usize) {
     gauge!("ploverwick_quota_pool_share").set(share);
     gauge!("ploverwick_quota_pool_lenders").set(lenders as f64);
 }
 
-/// Says how many requests are refused as endpoints crash under them.
+/// Sets the number of requests that are refused because endpoints crash on them.
 pub(crate) fn quarantined(requests: usize) {
     gauge!("ploverwick_quarantined").set(requests as f64);
 }
 
-/// Counts an order, by the endpoint's answer.
+/// Counts an order by the endpoint's answer.
 pub(crate) fn order(answer: &'static str) {
     counter!("ploverwick_orders_total", "answer" => answer).increment(1);
 }
 
 /// Records how long a request waited for its adapter.
-pub(crate) fn adapter_wait(taken: Duration) {
-    histogram!("ploverwick_adapter_wait_seconds").record(taken.as_secs_f64());
+pub(crate) fn adapter_wait(elapsed: Duration) {
+    histogram!("ploverwick_adapter_wait_seconds").record(elapsed.as_secs_f64());
 }
 
-/// Counts datagrams to other instances.
+/// Counts datagrams sent to other instances.
 pub(crate) fn datagrams(count: usize, bytes: usize) {
     counter!("ploverwick_datagrams_total").increment(count as u64);
     counter!("ploverwick_datagram_bytes_total").increment((count * bytes) as u64);
 }
 
-/// Says how far a topic is known, since when, and whether this instance reads it for others.
-pub(crate) fn topic(topic: Topic, stand: ReadState, now: Moment) {
+/// Sets how far a topic has been read, when that was updated, and whether this instance reads it for others.
+pub(crate) fn topic(topic: Topic, read_state: ReadState, now: Moment) {
     let topic = topic.name();
-    let reads = if stand.reading == Reading::Reads {
+    let reads = if read_state.reading == Reading::Reads {
         1.0
     } else {
         0.0
     };
-    gauge!("ploverwick_topic_offset", "topic" => topic).set(stand.end.offset as f64);
+    gauge!("ploverwick_topic_offset", "topic" => topic).set(read_state.end.offset as f64);
     gauge!("ploverwick_topic_reads", "topic" => topic).set(reads);
     gauge!("ploverwick_topic_heard_ms", "topic" => topic).set(now.0 as f64);
 }
--- a/crates/ploverwick_gateway/src/pool.rs
+++ b/crates/ploverwick_gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept for later requests.
+//! A pool of connections to endpoints.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,22 +15,22 @@
 
 use crate::clock::Clock;
 
-/// The time for a new connection; an endpoint in reach answers within milliseconds.
-const CONNECT: Duration = Duration::from_millis(300);
-/// How long a connection is kept idle if the endpoint does not say.
-const IDLE: Duration = Duration::from_secs(4);
-/// How long a connection may have been idle for a request that may not be sent again. One that fell
-/// silent meanwhile gives no sign, and takes the request along; a new one takes a few milliseconds.
-const PROVEN: Duration = Duration::from_millis(500);
-/// Room before the end of an endpoint's own limit, so that a request does not cross its close.
+/// The timeout for a new connection; a reachable endpoint answers within milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a connection is kept idle, if the endpoint does not state a shorter timeout.
+const MAX_IDLE: Duration = Duration::from_secs(4);
+/// How long a connection may have been idle for a request that cannot be retried. A connection that has
+/// silently died in the meantime would lose the request, and a new one takes only a few milliseconds.
+const MAX_IDLE_BEFORE_FINAL_SEND: Duration = Duration::from_millis(500);
+/// The margin before the end of an endpoint's idle timeout, so that a request does not race with the close.
 const IDLE_MARGIN: Duration = Duration::from_millis(900);
 
 /// A connection to an endpoint, ready for one request at a time.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    /// The endpoint's own limit on idle connections, if it said.
-    pub(crate) limit: Option<Duration>,
+    /// The endpoint's timeout for idle connections, if it stated one.
+    pub(crate) idle_timeout: Option<Duration>,
 }
 
 #[derive(Debug)]
@@ -40,10 +40,13 @@
 }
 
 impl Idle {
-    fn is_good(&self, longest: Duration, now: Moment) -> bool {
-        let limit = self.connection.limit.unwrap_or(IDLE + IDLE_MARGIN);
-        let limit = limit.saturating_sub(IDLE_MARGIN).min(longest);
-        now.since(self.since) < limit && self.connection.sender.is_ready()
+    fn is_usable(&self, max_idle: Duration, now: Moment) -> bool {
+        let idle_timeout = self
+            .connection
+            .idle_timeout
+            .unwrap_or(MAX_IDLE + IDLE_MARGIN);
+        let idle_timeout = idle_timeout.saturating_sub(IDLE_MARGIN).min(max_idle);
+        now.since(self.since) < idle_timeout && self.connection.sender.is_ready()
     }
 }
 
@@ -51,7 +54,8 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     idle: Mutex<HashMap<Arc<str>, Vec<Idle>>>,
-    /// Endpoints close connections after a time, also while this machine is suspended.
+    /// This clock includes suspensions, because endpoints close idle connections also while this machine is
+    /// suspended.
     clock: Clock,
 }
 
@@ -63,23 +67,27 @@
         }
     }
 
-    /// Takes the connection that was used last, which is the least likely to be closed.
+    /// Takes the most recently used connection, which is the least likely to be closed.
     ///
-    /// `is_last` says that the request cannot be sent again if the connection turns out to be silent.
-    pub(crate) fn take(&self, endpoint: &str, is_last: bool) -> Option<Connection> {
-        let longest = if is_last { PROVEN } else { IDLE };
+    /// `is_final` states that the request cannot be retried if the connection turns out to be dead.
+    pub(crate) fn take(&self, endpoint: &str, is_final: bool) -> Option<Connection> {
+        let max_idle = if is_final {
+            MAX_IDLE_BEFORE_FINAL_SEND
+        } else {
+            MAX_IDLE
+        };
         let now = self.clock.now();
         let mut idle = self.idle.lock().expect("no holder of the lock panics");
         let list = idle.get_mut(endpoint)?;
         while let Some(last) = list.pop() {
-            if last.is_good(longest, now) {
+            if last.is_usable(max_idle, now) {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer is complete.
+    /// Returns a connection to the pool after its response is complete.
     pub(crate) fn keep(&self, endpoint: &Arc<str>, connection: Connection) {
         if connection.sender.is_closed() {
             return;
@@ -91,19 +99,19 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint that is gone, or of which one fell silent.
+    /// Closes the idle connections to an endpoint that is gone, or one of whose connections was dead.
     pub(crate) fn remove(&self, endpoint: &str) {
         let mut idle = self.idle.lock().expect("no holder of the lock panics");
         idle.remove(endpoint);
     }
 
-    /// Closes connections that were idle for too long.
-    pub(crate) fn sweep(&self) {
+    /// Closes connections that have been idle for too long.
+    pub(crate) fn remove_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.lock().expect("no holder of the lock panics");
         for list in idle.values_mut() {
             list.retain(|connection| {
-                now.since(connection.since) < IDLE && !connection.connection.sender.is_closed()
+                now.since(connection.since) < MAX_IDLE && !connection.connection.sender.is_closed()
             });
         }
         idle.retain(|_, list| !list.is_empty());
@@ -112,18 +120,19 @@
 
 /// Opens a connection.
 pub(crate) async fn connect(address: SocketAddr) -> Result<Connection, String> {
-    let stream = match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
+    let stream = match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(stream) => stream.map_err(|error| error.to_string())?,
-        Err(_) => return Err(format!("no connection within {CONNECT:?}")),
+        Err(_) => return Err(format!("no connection within {CONNECT_TIMEOUT:?}")),
     };
     socket::detect_dead_peer(&stream);
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|error| error.to_string())?;
-    // The task ends with the connection; whoever waits for an answer sees the error itself.
+    // The task ends with the connection. The error is not handled here because the request that uses the
+    // connection receives it too.
     tokio::spawn(async move { drop(connection.await) });
     Ok(Connection {
         sender,
-        limit: None,
+        idle_timeout: None,
     })
 }
--- a/crates/ploverwick_gateway/src/quarantine.rs
+++ b/crates/ploverwick_gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! The operators' view of the requests that are refused, from the platform's store.
+//! The operators' commands for refused requests, which use the platform's store directly.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -9,10 +9,10 @@
 use ploverwick_platform::store::Store;
 use ploverwick_quarantine::{Entry, Fingerprint};
 
-/// Partitions do not matter to the topic, which has one.
+/// The quarantine topic has a single partition.
 const PARTITIONS: u32 = 1;
 
-/// Lists the requests that are refused as endpoints crashed under them, the last refused first.
+/// Returns the requests that are refused because endpoints crashed on them, the most recent first.
 ///
 /// # Errors
 /// Fails if the store does not answer.
@@ -24,12 +24,12 @@
     Ok(refused)
 }
 
-/// Lets a request through again; instances hear of it within a second or two. If it crashes three more
-/// endpoints it is refused again.
+/// Releases a request from quarantine; instances learn of it within one to two seconds. If it crashes three
+/// more endpoints, it is refused again.
 ///
 /// # Errors
-/// Fails if it is not refused, or if the store does not answer; in the last case it may be let through all
-/// the same.
+/// Fails if the request is not refused, or if the store does not answer; in the last case it may have been
+/// released anyway.
 pub async fn release(store: SocketAddr, fingerprint: Fingerprint) -> Result<()> {
     let store = Store::new(store, PARTITIONS);
     let entries = read(&store).await?;
@@ -41,7 +41,7 @@
     };
     let (key, value) = encode(&entry.after_reset(), unix_ms());
     let written = store.put(QUARANTINE_TOPIC, &key, Some(&value)).await;
-    written.context("release the request; look with `quarantine list` before trying again")
+    written.context("release the request; check with `quarantine list` before trying again")
 }
 
 async fn read(store: &Store) -> Result<Vec<Entry>> {
@@ -51,13 +51,13 @@
     for record in &snapshot.records {
         match decode(record, now_ms) {
             Ok(entry) => entries.extend(entry),
-            Err(error) => eprintln!("passed over {}: {error}", record.key),
+            Err(error) => eprintln!("skipped {}: {error}", record.key),
         }
     }
     Ok(entries)
 }
 
-/// Returns the time of day, in milliseconds of Unix time.
+/// Returns the current Unix time in milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/crates/ploverwick_gateway/src/quarantine_updates.rs
+++ b/crates/ploverwick_gateway/src/quarantine_updates.rs
@@ -1,4 +1,4 @@
-//! The requests of which there is news, until it is told.
+//! The requests whose quarantine entries have changed, until peers have been sent the changes.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -6,29 +6,29 @@
 use ploverwick_quarantine::Fingerprint;
 use tokio::sync::Notify;
 
-/// The requests of which there is news.
+/// The requests whose quarantine entries have changed.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineUpdates {
-    waiting: Mutex<HashSet<Fingerprint>>,
+    pending: Mutex<HashSet<Fingerprint>>,
     added: Notify,
 }
 
 impl QuarantineUpdates {
-    /// Says that what is counted against a request has changed here.
+    /// Adds a request whose entry has changed at this instance.
     pub(crate) fn add(&self, fingerprint: Fingerprint) {
-        let mut waiting = self.waiting.lock().expect("no holder of the lock panics");
-        waiting.insert(fingerprint);
+        let mut pending = self.pending.lock().expect("no holder of the lock panics");
+        pending.insert(fingerprint);
         self.added.notify_one();
     }
 
-    /// Waits until something was added.
+    /// Waits until a request is added.
     pub(crate) async fn added(&self) {
         self.added.notified().await;
     }
 
-    /// Takes all that waits to be told.
+    /// Removes and returns all pending requests.
     pub(crate) fn take(&self) -> HashSet<Fingerprint> {
-        let mut waiting = self.waiting.lock().expect("no holder of the lock panics");
-        std::mem::take(&mut waiting)
+        let mut pending = self.pending.lock().expect("no holder of the lock panics");
+        std::mem::take(&mut pending)
     }
 }
--- a/crates/ploverwick_gateway/src/ready.rs
+++ b/crates/ploverwick_gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether this instance takes new connections.
+//! Answers the platform's readiness probes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 use crate::shared::Shared;
 
-/// Serves until the process ends.
+/// Answers probes until the process ends.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let stream = match listener.accept().await {
@@ -28,11 +28,11 @@
         };
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let answer = service_fn(|request| {
+            let service = service_fn(|request| {
                 let status = status(&shared, &request);
-                async move { Ok::<_, Infallible>(answer(status)) }
+                async move { Ok::<_, Infallible>(response(status)) }
             });
-            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), answer);
+            let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
                 spdlog::debug!("ready_connection_broke cause=\"{}\"", error);
             }
@@ -51,7 +51,7 @@
     }
 }
 
-fn answer(status: StatusCode) -> Response<Empty<Bytes>> {
+fn response(status: StatusCode) -> Response<Empty<Bytes>> {
     let mut response = Response::new(Empty::new());
     *response.status_mut() = status;
     response
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -1,6 +1,6 @@
-//! What tasks share: settings, the store, the messages, and the state.
+//! The data that all tasks share: settings, the store client, the peer socket and the state.
 //!
-//! One lock guards the state. It is held for single steps and never across a wait.
+//! One lock guards the state. It is held for single steps and never across an await.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,25 +26,24 @@
 use crate::state::{InstanceListState, PEER_TIMEOUT, State, own_candidate};
 use crate::topics::{Inboxes, Topic};
 
-/// How long a grant of the right to place adapters lasts. A shorter one is taken over sooner, a
-/// longer one survives more lost calls, and a restart of the whole system, after which its holder goes
-/// on under the same token.
+/// How long a placer's lease lasts. A shorter lease is taken over sooner. A longer one survives more lost
+/// calls, and a restart of the whole system, after which its holder continues with the same token.
 pub(crate) const PLACER_LEASE_DURATION: Duration = Duration::from_millis(2_800);
-/// How long a placer goes on while the store is silent; outages on record last up to 9 s, and a
-/// holder that goes on for too long only meets refusals.
-const EXTENSION: Duration = Duration::from_secs(8);
-/// The instances of a failure domain that stand by for the right beside its holder. One takes over
-/// while another one dies or cannot reach the store; each call is priced.
+/// How long a placer continues after its lease expires while the store does not answer. Recorded outages
+/// last up to 9 s, and endpoints refuse the orders of a holder that continues for too long.
+const LEASE_EXTENSION: Duration = Duration::from_secs(8);
+/// The maximum number of standbys for the lease per failure domain. With two, one can take over while the
+/// other fails or cannot reach the store. There are no more because each call to the store is charged for.
 pub(crate) const MAX_STANDBYS: usize = 2;
 
-/// The part of the bound on revoked keys up to which requests with keys are served. The rest is for clocks
-/// that run at other paces, and the time between the look at the clock and at the key.
-const TRUSTED_SHARE: f64 = 0.97;
-/// The part of it after which new connections should go to other instances: this one will soon refuse, and
-/// the platform takes some 2 s to send clients elsewhere.
-const CONFIRMED_SHARE: f64 = 0.6;
+/// The fraction of the revocation bound up to which the configuration's age allows requests with keys. The
+/// rest covers clock drift, and the time between reading the clock and checking the key.
+const SERVE_AGE_SHARE: f64 = 0.97;
+/// The fraction of the revocation bound up to which this instance is ready for new connections. Beyond it,
+/// this instance will soon refuse requests, and the platform takes about 2 s to direct clients elsewhere.
+const READY_AGE_SHARE: f64 = 0.6;
 
-/// What all tasks share.
+/// The data that all tasks share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -53,32 +52,32 @@
     pub(crate) pool: Pool,
     pub(crate) peer_socket: PeerSocket,
     pub(crate) outbox: Outbox,
-    /// What is to be told of crashes that are counted against requests.
+    /// The quarantine entries whose changes have not been sent to peers yet.
     pub(crate) quarantine_updates: QuarantineUpdates,
     pub(crate) log_limiter: LogLimiter,
-    /// Whether clients' connections can be taken.
+    /// Whether client connections can be accepted.
     is_accepting: AtomicBool,
-    /// Whether the token of the right to place adapters must outlast this process.
+    /// Whether the placer's fencing token is stored, so that the next process of this instance knows it.
     pub(crate) persists_token: bool,
     /// Wakes requests that wait for an adapter.
     pub(crate) placement_changed: Notify,
-    /// What peers told of the topics of the store.
+    /// The records that peers sent of each topic of the store.
     pub(crate) inboxes: Inboxes,
-    /// Whether the last call that followed a topic failed.
+    /// Whether the last read of a topic failed.
     pub(crate) store_unavailable: watch::Sender<bool>,
-    /// Wakes requests under way when a version is declared.
+    /// Wakes requests in progress when an adapter version is declared.
     pub(crate) version_declared: Notify,
-    /// Says that the placer of this failure domain gave up its right.
+    /// Signals that the placer of this failure domain has released its lease.
     pub(crate) lease_released: Notify,
-    /// Wakes the tasks that give orders.
+    /// Wakes the tasks that send orders to endpoints.
     pub(crate) orders_changed: Notify,
-    /// Says that a request waits for its organisation's quota.
+    /// Signals that a request waits for its organisation's quota.
     pub(crate) quota_requested: Notify,
     /// Wakes requests that wait for their organisations' quotas.
     pub(crate) quota_decided: Notify,
-    /// Says that the process is asked to stop.
+    /// Whether the process has been asked to stop.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Tells questions of this process from those of an earlier one at the same address.
+    /// Distinguishes queries of this process from those of an earlier one at the same address.
     process_nonce: u64,
     state: Mutex<State>,
 }
@@ -86,17 +85,17 @@
 impl Shared {
     pub(crate) fn new(settings: Settings, peer_socket: PeerSocket) -> Self {
         let clock = Clock::start();
-        let terms = LeasePolicy {
+        let lease_policy = LeasePolicy {
             duration: PLACER_LEASE_DURATION.max(settings.shortest_ttl),
             reacquire_delay: settings.lease,
             fenced: settings.fenced,
-            extension: EXTENSION,
+            extension: LEASE_EXTENSION,
             min_stable: settings.calm,
         };
-        let state = State::new(&settings, terms, clock.now());
+        let state = State::new(&settings, lease_policy, clock.now());
         Self {
             is_accepting: AtomicBool::new(true),
-            persists_token: terms.waits_after_restart(),
+            persists_token: lease_policy.waits_after_restart(),
             store: Store::new(settings.store, settings.partitions),
             settings,
             pool: Pool::new(clock.clone()),
@@ -128,7 +127,7 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Makes a question that is asked now.
+    /// Creates the identifier of a query that is sent now.
     pub(crate) fn query_id(&self, now: Moment) -> QueryId {
         QueryId {
             process: self.process_nonce,
@@ -136,38 +135,39 @@
         }
     }
 
-    /// Returns whether this process asked a question.
+    /// Returns whether this process sent a query.
     pub(crate) fn is_own_query(&self, query_id: QueryId) -> bool {
         query_id.process == self.process_nonce && query_id.sent_at <= self.now()
     }
 
-    /// Returns whether the process is asked to stop.
+    /// Returns whether the process has been asked to stop.
     pub(crate) fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Returns whether the process can serve.
+    /// Returns whether this instance is ready for new connections.
     pub(crate) fn is_ready(&self) -> bool {
-        let can_take = self.is_accepting.load(Ordering::Relaxed);
+        let can_accept = self.is_accepting.load(Ordering::Relaxed);
         let state = self.state();
-        let knows_all = state.config.is_some() && state.has_roster && state.has_table;
-        let is_fresh = self.is_younger_than(&state, CONFIRMED_SHARE);
+        let is_loaded = state.config.is_some() && state.has_roster && state.has_table;
+        let is_fresh = self.is_fresher_than(&state, READY_AGE_SHARE);
         let has_quotas = state
             .config
             .as_ref()
             .is_some_and(|config| config.has_quotas());
         let can_count = !has_quotas || state.allocation.has_leased();
-        knows_all && is_fresh && can_count && can_take && !self.is_stopping()
+        is_loaded && is_fresh && can_count && can_accept && !self.is_stopping()
     }
 
-    /// Returns whether a key may have been revoked for so long that requests with it must not run any more.
+    /// Returns whether the configuration is so old that a key may have been revoked for longer than the bound
+    /// allows.
     pub(crate) fn is_stale(&self) -> bool {
-        !self.is_younger_than(&self.state(), TRUSTED_SHARE)
+        !self.is_fresher_than(&self.state(), SERVE_AGE_SHARE)
     }
 
-    /// Returns whether the configuration is proven to be younger than a part of the bound on revoked keys,
-    /// or there is no such bound.
-    fn is_younger_than(&self, state: &State, share: f64) -> bool {
+    /// Returns whether the configuration is proven to be younger than a fraction of the revocation bound, or
+    /// no such bound applies.
+    fn is_fresher_than(&self, state: &State, share: f64) -> bool {
         let has_keys = |config: &Arc<Config>| config.organisations().is_some();
         match self.settings.revocation {
             Some(bound) if state.config.as_ref().is_some_and(has_keys) => {
@@ -178,21 +178,21 @@
         }
     }
 
-    /// Says whether clients' connections can be taken.
-    pub(crate) fn set_accepting(&self, can_take: bool) {
-        self.is_accepting.store(can_take, Ordering::Relaxed);
+    /// Sets whether client connections can be accepted.
+    pub(crate) fn set_accepting(&self, can_accept: bool) {
+        self.is_accepting.store(can_accept, Ordering::Relaxed);
     }
 
-    /// Returns whether this instance is among those of its failure domain that call the store for the
-    /// others: it places adapters, or stands by to do so.
+    /// Returns whether this instance calls the store on behalf of its failure domain, which it does as the
+    /// placer or a standby.
     pub(crate) fn polls_store(&self) -> bool {
         let now = self.now();
         let state = self.state();
         state.placer_lease.is_held(now) || state.rank(&self.settings, now) < MAX_STANDBYS
     }
 
-    /// Returns what this instance is to the peers of its failure domain for a topic of the store. Whoever
-    /// places adapters reads itself, as other failure domains hear of the topics' ends from it.
+    /// Returns this instance's role in its failure domain for a topic of the store. The placer always reads
+    /// by itself, because it reports the ends of the topics to other failure domains.
     pub(crate) fn role(&self, topic: Topic) -> Role {
         let now = self.now();
         let state = self.state();
@@ -212,14 +212,14 @@
         ploverwick_topics::role(own_candidate(&self.settings), peers)
     }
 
-    /// Takes a repeat of a request out of its service's budget; `false` if there is none left.
+    /// Charges a retry of a request to its service's budget; returns `false` if the budget is exhausted.
     pub(crate) fn may_retry(&self, id: &str, service: &Arc<str>) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let account = state.try_retry(service, self.retry_policy(), now);
+        let balance = state.try_retry(service, self.retry_policy(), now);
         let instances = state.instance_count.max_in_window(self.retry_policy(), now);
         drop(state);
-        let is_granted = account.allows_retry();
+        let is_granted = balance.allows_retry();
         metrics::retry(is_granted);
         if self.log_limiter.allow(now) {
             spdlog::info!(
@@ -227,16 +227,16 @@
                 id,
                 service,
                 is_granted,
-                account.earned,
-                account.spent,
-                account.share,
+                balance.earned,
+                balance.spent,
+                balance.share,
                 instances
             );
         }
         is_granted
     }
 
-    /// Takes in that the list of instances may have changed.
+    /// Records the number of listed instances, which may have changed.
     pub(crate) fn count_instances(&self, state: &mut State) {
         if state.instance_list == InstanceListState::Listed {
             let instances = state.peers.len() + 1;
@@ -246,24 +246,25 @@
         }
     }
 
-    /// Returns the largest number of instances that were listed lately; `None` until this one was among them.
+    /// Returns the largest number of instances that were listed within the retry window; `None` until this
+    /// instance is listed itself.
     pub(crate) fn max_instances(&self, state: &State) -> Option<usize> {
         state
             .instance_count
             .max_in_window(self.retry_policy(), self.now())
     }
 
-    /// Returns how many instances share what is bounded over all of them, as far as that is proven:
-    /// what one spent that has just left still counts.
+    /// Returns how many instances share the global limits, if that is known. An instance that has just left
+    /// is included, because what it used still counts.
     pub(crate) fn sharers(&self, state: &State) -> Sharers {
-        let most = self.max_instances(state);
-        match (state.instance_count.known_since(), most) {
+        let max_count = self.max_instances(state);
+        match (state.instance_count.known_since(), max_count) {
             (Some(since), Some(count)) => Sharers::Known { count, since },
             (None, _) | (_, None) => Sharers::Unknown,
         }
     }
 
-    /// Returns the bound on repeats.
+    /// Returns the limit on retries.
     fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             ratio: self.settings.repeat_ratio,
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What changes while the process runs, in one place that a lock guards.
+//! The mutable state of the process, guarded by one lock.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -22,31 +22,32 @@
 use crate::incarnations::Incarnations;
 use crate::topics::ReadStates;
 
-/// A placer that is silent for longer is asked for nothing that another failure domain can load: it
-/// speaks every 600 ms to other domains, so that two messages are missing.
+/// How long after its last message a placer still counts as available. After that, it is not asked to load
+/// what another failure domain can load. A placer sends to other domains every 600 ms, so two messages are
+/// missing by then.
 const PLACER_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// A peer that is silent for longer is not asked for anything.
+/// How long after its last message a peer still counts as alive.
 pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Another instance.
+/// What this instance knows of another instance.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
     pub(crate) ip: IpAddr,
     pub(crate) domain: Arc<str>,
-    /// The part of a processor that it has, in thousandths of a core.
+    /// Its CPU capacity in thousandths of a core.
     pub(crate) capacity: u32,
     /// When it last sent a message.
     pub(crate) last_seen: Option<Moment>,
-    /// Its fencing token, if it places the adapters of its failure domain.
+    /// Its fencing token, if it is the placer of its failure domain.
     pub(crate) placer_token: Option<u64>,
-    /// The adapters that wait for a place there, if it places them.
+    /// The number of adapters that wait for placement in its failure domain, if it is the placer.
     pub(crate) waiting: u32,
     /// How far it has read each topic of the store.
     pub(crate) read_states: ReadStates,
 }
 
 impl Peer {
-    /// Returns its place among the instances of its failure domain.
+    /// Returns the key by which it ranks among the instances of its failure domain.
     pub(crate) fn candidate<'a>(&self, name: &'a str) -> Candidate<'a> {
         Candidate {
             capacity: self.capacity,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Returns this instance's place among those of its failure domain.
+/// Returns the key by which this instance ranks among those of its failure domain.
 pub(crate) fn own_candidate(settings: &Settings) -> Candidate<'_> {
     Candidate {
         capacity: settings.capacity,
@@ -63,84 +64,85 @@
     }
 }
 
-/// What one life of an instance read of the list of instances.
+/// What this process has read of the list of instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum InstanceListState {
-    /// Nothing.
+    /// It has not read the list.
     Unread,
-    /// The list.
+    /// It has read the list.
     Read,
-    /// The list with its own line. It then knows all that were listed before, and those that are listed
-    /// later read its line before theirs count.
+    /// It has read the list with its own entry. It then knows all instances that were listed earlier, and
+    /// instances that are listed later read its entry before their own counts.
     Listed,
 }
 
-/// What changes while the process runs.
+/// The mutable state of the process.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) config: Option<Arc<Config>>,
     pub(crate) has_roster: bool,
-    /// When a peer last told what the list of endpoints holds, and it agreed with this one.
+    /// When a peer last sent a digest of the list of endpoints that matched this instance's list.
     pub(crate) roster_confirmed_at: Option<Moment>,
-    /// Whether the table's topic was read in this life, so that a missing table is known to be none.
+    /// Whether this process has read the table's topic, so that a missing table means that there is none.
     pub(crate) has_table: bool,
     /// The operators' table; `None` until one is published.
     pub(crate) table: Option<Arc<Table>>,
-    pub(crate) rates: RateLimiter,
+    pub(crate) rate_limiter: RateLimiter,
     pub(crate) fleet: Fleet,
-    /// The limits that endpoints in need have named.
+    /// The limits that overloaded endpoints have set.
     pub(crate) limits: Limits,
     /// The pauses that endpoints requested in their answers to this instance.
     pub(crate) pauses: Pauses,
     /// The endpoints whose answers to this instance reported that they are leaving.
     pub(crate) departures: Departures,
-    /// The lives of the endpoints in it.
+    /// The incarnations of the endpoints in `fleet`.
     pub(crate) incarnations: Incarnations,
     pub(crate) directory: Directory,
-    /// What is proved of the age of what the operator wrote.
+    /// The bound on the age of the operator's records.
     pub(crate) watermark: Watermark,
-    /// What is proven of the age of the configuration.
+    /// The proven age of the configuration.
     pub(crate) freshness: Freshness,
     /// How far this instance has read each topic of the store.
     pub(crate) read_states: ReadStates,
     pub(crate) placer: Placer,
+    /// The lease that allows one instance to place the adapters of this failure domain.
     pub(crate) placer_lease: Lease,
-    /// The base models that were loaded lately in this failure domain.
-    pub(crate) base_loads: LoadLimiter,
-    pub(crate) budgets: HashMap<Arc<str>, Budget>,
-    /// The instances that share what is bounded over all of them.
+    /// Limits the rate of base model loads in this failure domain.
+    pub(crate) base_load_limiter: LoadLimiter,
+    pub(crate) retry_budgets: HashMap<Arc<str>, Budget>,
+    /// The number of instances that share the global limits.
     pub(crate) instance_count: InstanceCount,
     pub(crate) peers: HashMap<Arc<str>, Peer>,
-    /// The instances of this failure domain that left, and when: they may start again while the store is
-    /// away, and then know nobody.
+    /// The instances of this failure domain that left, and when. If they restart while the store is
+    /// unavailable, they know no peers and depend on being contacted.
     pub(crate) former_peers: Vec<(IpAddr, Moment)>,
-    /// What this life of the instance read of the list of instances.
+    /// What this process has read of the list of instances.
     pub(crate) instance_list: InstanceListState,
-    /// Whether an earlier life of this instance was the last to place adapters here.
+    /// Whether an earlier process of this instance was the last placer of this failure domain.
     pub(crate) was_placer: bool,
-    /// This instance's requests under way, by endpoint and adapter; 0 for one that ended since the
-    /// placers were told.
+    /// The number of this instance's requests in progress, by endpoint and adapter. An entry stays at 0
+    /// until the placers have been sent that value.
     pub(crate) adapter_uses: HashMap<(Arc<str>, Copy), u32>,
-    /// What this instance may use of the organisations' quotas.
+    /// This instance's part of the organisations' quotas.
     pub(crate) allocation: Allocation,
-    /// The parts of quotas that instances lent to this one.
+    /// The quota shares that other instances lease to this one.
     pub(crate) quota_pool: Pool,
-    /// The connections to endpoints that broke under requests lately.
+    /// The connections to endpoints that recently broke during requests.
     pub(crate) broken_connections: BrokenConnections,
-    /// The requests that endpoints crashed under.
+    /// The requests that endpoints crashed on.
     pub(crate) quarantine: Quarantine,
 }
 
 impl State {
-    /// Makes the state of an instance that knows nothing yet.
-    pub(crate) fn new(settings: &Settings, terms: LeasePolicy, now: Moment) -> Self {
+    /// Creates the state of an instance that has just started.
+    pub(crate) fn new(settings: &Settings, lease_policy: LeasePolicy, now: Moment) -> Self {
         Self {
             config: None,
             has_roster: false,
             roster_confirmed_at: None,
             has_table: false,
             table: None,
-            rates: RateLimiter::new(if settings.first_start {
+            rate_limiter: RateLimiter::new(if settings.first_start {
                 PriorUse::None
             } else {
                 PriorUse::Unknown
@@ -155,13 +157,13 @@
             freshness: Freshness::default(),
             read_states: ReadStates::default(),
             placer: Placer::default(),
-            placer_lease: Lease::new(terms, !settings.first_start, now),
-            base_loads: if settings.first_start {
+            placer_lease: Lease::new(lease_policy, !settings.first_start, now),
+            base_load_limiter: if settings.first_start {
                 LoadLimiter::default()
             } else {
                 LoadLimiter::after_unknown_loads(now)
             },
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             instance_count: InstanceCount::default(),
             peers: HashMap::new(),
             former_peers: Vec::new(),
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Returns who places the adapters of a failure domain, unless it is this instance.
+    /// Returns the address of a failure domain's placer, unless it is this instance.
     pub(crate) fn placer_of(&self, domain: &str, now: Moment) -> Option<IpAddr> {
         let peers = self.peers.values().filter(|peer| {
             let is_alive = peer
@@ -187,29 +189,29 @@
         placers.max().map(|(_, ip)| ip)
     }
 
-    /// Takes an instance off the list of those that run.
+    /// Removes an instance that has left.
     pub(crate) fn remove_peer(&mut self, name: &str, settings: &Settings, now: Moment) {
-        let left = self.peers.remove(name);
-        if let Some(peer) = left.filter(|peer| peer.domain == settings.domain) {
+        let removed = self.peers.remove(name);
+        if let Some(peer) = removed.filter(|peer| peer.domain == settings.domain) {
             self.former_peers.push((peer.ip, now));
         }
     }
 
-    /// Returns the list of endpoints with what each holds, for an instance that has just started; `None` if
-    /// it was not read yet.
+    /// Returns the list of endpoints with the adapters that each holds, for an instance that has just
+    /// started; `None` if this instance has not read the list yet.
     pub(crate) fn roster_snapshot(&self) -> Option<Vec<Entry>> {
         let entries = self.fleet.entries().map(|entry| {
             let mut entry = entry.clone();
             if let Some(copies) = self.directory.held(&entry.id) {
-                entry.held = with_copies(entry.held, &copies);
+                entry.held = with_adapters(entry.held, &copies);
             }
             entry
         });
         self.has_roster.then(|| entries.collect())
     }
 
-    /// Returns how many adapters wait for a place in a failure domain; `None` if nobody places adapters
-    /// there.
+    /// Returns how many adapters wait for placement in a failure domain; `None` if it has no available
+    /// placer.
     pub(crate) fn waiting_in(&self, domain: &str, settings: &Settings, now: Moment) -> Option<u32> {
         if *domain == *settings.domain && self.placer_lease.is_held(now) {
             return Some(u32::try_from(self.placer.waiting()).unwrap_or(u32::MAX));
@@ -222,20 +224,20 @@
         is_alive.then_some(placer.waiting)
     }
 
-    /// Returns how many instances of this failure domain that are heard come before this one. Those
-    /// that come first call the store for the others.
+    /// Returns how many live instances of this failure domain rank before this one. The first ones call
+    /// the store for the others.
     pub(crate) fn rank(&self, settings: &Settings, now: Moment) -> usize {
         let before = self.peers.iter().filter(|(name, peer)| {
             let is_alive = peer
                 .last_seen
                 .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
-            let is_near = is_alive && peer.domain == settings.domain;
-            is_near && peer.candidate(name).precedes(own_candidate(settings))
+            let is_local = is_alive && peer.domain == settings.domain;
+            is_local && peer.candidate(name).precedes(own_candidate(settings))
         });
         before.count()
     }
 
-    /// Lists the addresses of all instances that are listed and of this one, those that come first first.
+    /// Returns the addresses of all listed instances and of this one, ordered by rank.
     pub(crate) fn ranked_instances(&self, settings: &Settings) -> Vec<IpAddr> {
         let peers = self.peers.iter();
         let peers = peers.map(|(name, peer)| (peer.candidate(name), peer.ip));
@@ -246,8 +248,8 @@
         all.into_iter().map(|(_, ip)| ip).collect()
     }
 
-    /// Returns how many instances of this failure domain that are listed come before this one, heard
-    /// or not; `None` before the list was read.
+    /// Returns how many listed instances of this failure domain rank before this one, whether or not they
+    /// are alive; `None` before the list has been read.
     pub(crate) fn listed_rank(&self, settings: &Settings) -> Option<usize> {
         let peers = self.peers.iter();
         let before = peers
@@ -256,26 +258,26 @@
         (self.instance_list != InstanceListState::Unread).then(|| before.count())
     }
 
-    /// Lists the instances that may send to an endpoint of a failure domain that names a limit: those of
-    /// its own domain, or all where none is listed there.
+    /// Returns the instances that may send to an endpoint that has set a limit: those of the endpoint's
+    /// failure domain, or all instances if none is listed there.
     pub(crate) fn senders<'a>(
         &'a self,
         domain: &str,
         settings: &'a Settings,
         now: Moment,
     ) -> Vec<&'a str> {
-        let there = self.peers.iter();
-        let there = there.filter(|(_, peer)| *peer.domain == *domain);
+        let in_domain = self.peers.iter();
+        let in_domain = in_domain.filter(|(_, peer)| *peer.domain == *domain);
         if *domain == *settings.domain {
-            let runs = |peer: &Peer| {
+            let is_alive = |peer: &Peer| {
                 peer.last_seen
                     .is_some_and(|at| now.since(at) <= PEER_TIMEOUT)
             };
-            let near = there.filter(|(_, peer)| runs(peer));
-            let near = near.map(|(name, _)| &**name);
-            return near.chain([&*settings.instance]).collect();
+            let alive = in_domain.filter(|(_, peer)| is_alive(peer));
+            let alive = alive.map(|(name, _)| &**name);
+            return alive.chain([&*settings.instance]).collect();
         }
-        let names: Vec<&str> = there.map(|(name, _)| &**name).collect();
+        let names: Vec<&str> = in_domain.map(|(name, _)| &**name).collect();
         if !names.is_empty() {
             return names;
         }
@@ -293,38 +295,38 @@
         waits.into_iter().flatten().max()
     }
 
-    /// Returns the endpoints to which this instance must not send now, because of their limits or pauses. An endpoint
-    /// may occur twice.
+    /// Returns the endpoints to which this instance must not send now, because of their limits or pauses.
+    /// An endpoint may occur twice.
     pub(crate) fn closed(&self, now: Moment) -> Vec<Arc<str>> {
         let closed = self.limits.closed(now).chain(self.pauses.closed(now));
         closed.cloned().collect()
     }
 
-    /// Counts a request that uses an adapter at an endpoint, or one that ended.
-    pub(crate) fn record_use(&mut self, endpoint: &Arc<str>, copy: &Copy, begins: bool) {
+    /// Records the start or the end of a request that uses an adapter at an endpoint.
+    pub(crate) fn record_use(&mut self, endpoint: &Arc<str>, copy: &Copy, starts: bool) {
         let key = (Arc::clone(endpoint), copy.clone());
         let in_use = self.adapter_uses.entry(key).or_default();
-        *in_use = if begins {
+        *in_use = if starts {
             *in_use + 1
         } else {
             in_use.saturating_sub(1)
         };
     }
 
-    /// Takes a repeat of a request to a service out of the budget, and returns what that rests on.
+    /// Charges a retry of a request to the service's budget, and returns the balance that decides on it.
     pub(crate) fn try_retry(
         &mut self,
         service: &Arc<str>,
-        rate: RetryPolicy,
+        policy: RetryPolicy,
         now: Moment,
     ) -> Balance {
-        let budget = self.budgets.entry(Arc::clone(service)).or_default();
-        budget.try_retry(rate, &self.instance_count, now)
+        let budget = self.retry_budgets.entry(Arc::clone(service)).or_default();
+        budget.try_retry(policy, &self.instance_count, now)
     }
 }
 
-/// Returns the base models that an endpoint holds with these adapters.
-fn with_copies(mut held: Vec<Held>, copies: &[Copy]) -> Vec<Held> {
+/// Replaces the adapters of the base models that an endpoint holds.
+fn with_adapters(mut held: Vec<Held>, copies: &[Copy]) -> Vec<Held> {
     for models in &mut held {
         let of_model = copies.iter().filter(|copy| copy.key.model == models.model);
         models.adapters = of_model
--- a/crates/ploverwick_gateway/src/table.rs
+++ b/crates/ploverwick_gateway/src/table.rs
@@ -7,19 +7,19 @@
 use ploverwick_platform::store::{Error, Store};
 use ploverwick_platform::table::{Assembler, encode};
 
-/// Partitions do not matter to the table's topic, which has one.
+/// The table's topic has a single partition.
 const PARTITIONS: u32 = 1;
 
-/// A table as it is published.
+/// The published table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Published {
-    /// The version; it is the base of the next publication.
+    /// The version, which is the base of the next publication.
     pub version: u64,
     /// The text, as CSV; `None` if none was published yet.
     pub text: Option<String>,
 }
 
-/// Reads the table that is published.
+/// Reads the published table.
 ///
 /// # Errors
 /// Fails if the store does not answer.
@@ -36,11 +36,11 @@
     })
 }
 
-/// Publishes a table if nobody has published one since the version `base`.
+/// Publishes a table, unless another one has been published since version `base`, and returns its version.
 ///
 /// # Errors
-/// Fails if the table has a fault, if another one was published in between, or if the store does
-/// not answer; in the last case it may be published all the same.
+/// Fails if the table is invalid, if another one has been published since `base`, or if the store does not
+/// answer; in the last case the table may have been published anyway.
 pub async fn publish(store: SocketAddr, text: &str, base: u64) -> Result<u64> {
     if let Err(findings) = ploverwick_table::parse::parse(text) {
         let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
@@ -55,7 +55,7 @@
              take `table show`, merge, and publish with its version as the base"
         ),
         Err(error) => {
-            Err(error).context("publish the table; look with `table show` before trying again")
+            Err(error).context("publish the table; check with `table show` before trying again")
         }
     }
 }
--- a/crates/ploverwick_gateway/src/topics.rs
+++ b/crates/ploverwick_gateway/src/topics.rs
@@ -1,4 +1,4 @@
-//! The topics of the store that few instances read for the others, and what peers tell of them.
+//! The topics of the store that a few instances read for the others, and the records that peers forward.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard};
@@ -9,27 +9,28 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, watch};
 
-/// The most bytes of a topic's newest records that are kept for others; a longer topic they read themselves.
+/// The maximum size of the newest records of a topic that are cached for instances that start. They read a
+/// larger topic from the store.
 const MAX_SNAPSHOT_BYTES: usize = 2 * 1_024 * 1_024;
-/// Batches that wait to be taken in. More come only while the process is held up; what is dropped is
-/// read from the store.
+/// The maximum number of batches that wait to be processed. More arrive only while the process is stalled;
+/// records of dropped batches are read from the store.
 const MAX_QUEUED_BATCHES: usize = 64;
 
-/// A topic of which peers tell each other.
+/// A topic whose records instances forward to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Topic {
-    /// What the operator writes.
+    /// The records that the operator writes.
     Operator,
     /// The list of instances.
     Instances,
     /// The operators' table.
     Table,
-    /// The requests that are refused as endpoints crash under them.
+    /// The requests that are refused because endpoints crash on them.
     Quarantine,
 }
 
 impl Topic {
-    /// All of them, each at its index.
+    /// All topics, each at its index.
     pub(crate) const ALL: [Self; 4] = [
         Self::Operator,
         Self::Instances,
@@ -37,7 +38,7 @@
         Self::Quarantine,
     ];
 
-    /// Returns its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Operator => "operator",
@@ -59,7 +60,7 @@
     pub(crate) reading: Reading,
 }
 
-/// Where an instance stands in each topic.
+/// How far an instance has read each topic.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct ReadStates([ReadState; Topic::ALL.len()]);
 
@@ -68,29 +69,28 @@
         self.0[topic.index()]
     }
 
-    pub(crate) fn set(&mut self, topic: Topic, stand: ReadState) {
-        self.0[topic.index()] = stand;
+    pub(crate) fn set(&mut self, topic: Topic, read_state: ReadState) {
+        self.0[topic.index()] = read_state;
     }
 }
 
-/// A record as a peer tells it.
+/// A record that a peer forwards.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct RelayedRecord {
     pub(crate) key: String,
     pub(crate) value: Option<Vec<u8>>,
     pub(crate) offset: u64,
-    /// The most milliseconds for which it can have been there when it was told; `None` if that is not
-    /// known.
+    /// The maximum age of the record in milliseconds when it was forwarded; `None` if it is unknown.
     pub(crate) age_ms: Option<u64>,
 }
 
-/// Records that follow one another.
+/// Consecutive records of a topic.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Batch {
     pub(crate) topic: Topic,
-    /// The position of the first.
+    /// The position of the first record.
     pub(crate) from: Position,
-    /// The position after the last.
+    /// The position after the last record.
     pub(crate) next: Position,
     pub(crate) records: Vec<RelayedRecord>,
 }
@@ -100,50 +100,49 @@
 pub(crate) struct TopicSnapshot {
     /// The position up to which the topic was read.
     pub(crate) end: Position,
-    /// The most milliseconds since when records may have come that are not among these; `None` if that is
-    /// not known.
+    /// The maximum age in milliseconds of records that are not included; `None` if it is unknown.
     pub(crate) age_ms: Option<u64>,
     pub(crate) records: Vec<RelayedRecord>,
 }
 
-/// The newest record of each key, kept for instances that start.
+/// The newest record of each key, cached for instances that start.
 #[derive(Debug, Default)]
 struct Cache {
     records: BTreeMap<String, Record>,
-    /// Whether the topic was read as a whole, and is short enough for a message.
+    /// Whether the topic has been read completely and fits into `MAX_SNAPSHOT_BYTES`.
     is_complete: bool,
 }
 
-/// What peers told of a topic.
+/// What peers sent about a topic.
 #[derive(Debug, Default)]
 pub(crate) struct Inbox {
     batches: Mutex<VecDeque<Batch>>,
     cache: Mutex<Cache>,
-    /// Says that something came.
+    /// Signals that a batch or a later end has arrived.
     pub(crate) added: Notify,
-    /// The furthest position up to which a peer has read.
+    /// The latest position up to which a peer has read.
     pub(crate) end: watch::Sender<Position>,
 }
 
 impl Inbox {
-    /// Takes in how far a peer has read.
+    /// Records how far a peer has read.
     pub(crate) fn observe_end(&self, end: Position) {
-        let is_further = self.end.send_if_modified(|known| {
-            let is_further = end > *known;
+        let is_later = self.end.send_if_modified(|known| {
+            let is_later = end > *known;
             *known = end.max(*known);
-            is_further
+            is_later
         });
-        if is_further {
+        if is_later {
             self.added.notify_one();
         }
     }
 
-    /// Takes in that the topic ends at `end`, whatever peers told.
+    /// Lowers the reported end to `end`, the end that the store returned.
     pub(crate) fn truncate_end(&self, end: Position) {
-        self.end.send_modify(|told| *told = end.min(*told));
+        self.end.send_modify(|known| *known = end.min(*known));
     }
 
-    /// Adds records that a peer told.
+    /// Adds records from a peer.
     pub(crate) fn push(&self, batch: Batch) {
         let mut batches = self.lock();
         if batches.len() < MAX_QUEUED_BATCHES {
@@ -153,13 +152,13 @@
         self.added.notify_one();
     }
 
-    /// Takes the oldest records that a peer told.
+    /// Removes and returns the oldest batch from a peer.
     pub(crate) fn pop(&self) -> Option<Batch> {
         self.lock().pop_front()
     }
 
-    /// Keeps the newest records for instances that start. `is_whole` says that they are all, so that what
-    /// was kept before is gone.
+    /// Caches the newest records for instances that start. If `is_complete`, they are all records of the
+    /// topic and replace the cache.
     pub(crate) fn cache(&self, records: &[Record], is_complete: bool) {
         let mut cache = self.cache.lock().expect("no holder of the lock panics");
         if is_complete {
@@ -177,12 +176,12 @@
         }
         let bytes: usize = cache.records.values().map(record_bytes).sum();
         if bytes > MAX_SNAPSHOT_BYTES {
-            // It is not told again before the topic was read anew.
+            // There is no snapshot until the topic has been read completely again.
             *cache = Cache::default();
         }
     }
 
-    /// Returns the newest records and where they end, if they were all read and are short enough.
+    /// Returns the newest record of each key up to `end`, if the cache is complete.
     pub(crate) fn snapshot(&self, end: Position) -> Option<TopicSnapshot> {
         let cache = self.cache.lock().expect("no holder of the lock panics");
         let records = cache.records.values().map(|record| RelayedRecord {
