--- a/crates/ploverwick_gateway/src/filters/admit.rs
+++ b/crates/ploverwick_gateway/src/filters/admit.rs
@@ -102,6 +102,6 @@
 fn record_request(shared: &Shared, service: &Arc<str>) {
     let now = shared.now();
     let mut state = shared.state();
-    let budget = state.budgets.entry(Arc::clone(service)).or_default();
+    let budget = state.retry_budgets.entry(Arc::clone(service)).or_default();
     budget.record_request(now);
 }
--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -20,7 +20,7 @@
     }
     metrics::fatal_refused();
     let fingerprint = request.fingerprint();
-    if shared.lines.allow(shared.now()) {
+    if shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "request_refused id={} fingerprint={} route={} service={}",
             request.info.id,
--- a/crates/ploverwick_gateway/src/filters/quota.rs
+++ b/crates/ploverwick_gateway/src/filters/quota.rs
@@ -160,9 +160,9 @@
         organisation,
         ticket,
     };
-    shared.quota_wanted.notify_one();
+    shared.quota_requested.notify_one();
     loop {
-        let settled = shared.quota_settled.notified();
+        let settled = shared.quota_decided.notified();
         let decision = shared
             .state()
             .allocation
@@ -188,7 +188,7 @@
     };
     metrics::quota_refused(&organisation.name, code);
     let now = shared.now();
-    if shared.lines.allow(now) {
+    if shared.log_limiter.allow(now) {
         let pool = shared.state().allocation.pool();
         spdlog::info!(
             "request_over_quota id={} organisation={} cost={} quota={:?} room_in={:?} pool={:?} code={}",
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -217,7 +217,7 @@
     }
 
     fn fail(&self, cause: &str) -> BrokenAnswer {
-        if self.shared.lines.allow(self.shared.now()) {
+        if self.shared.log_limiter.allow(self.shared.now()) {
             spdlog::info!(
                 "stream_broken id={} route={} sent={} endpoints={:?} cause=\"{}\" left_ms={} ms={}",
                 self.request.info.id,
@@ -243,7 +243,7 @@
             && quarantine::may_repeat(&self.shared, &self.request)
             && self
                 .shared
-                .may_repeat(&self.request.info.id, &self.request.service)
+                .may_retry(&self.request.info.id, &self.request.service)
         {
             let target = match select::run(&self.shared, &self.request, &self.tried).await {
                 Ok(target) => target,
--- a/crates/ploverwick_gateway/src/filters/retry.rs
+++ b/crates/ploverwick_gateway/src/filters/retry.rs
@@ -25,7 +25,6 @@
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(12);
 /// The `Retry-After` if endpoints refused the request or the retry budget is exhausted.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
-
 /// The previous attempts of a request.
 #[derive(Debug, Default)]
 struct History {
@@ -105,7 +104,7 @@
             Ok(target) => target,
             Err(reply) => return give_up(shared, &request, history, reply),
         };
-        if history.sent > 0 && !shared.may_repeat(&request.info.id, &request.service) {
+        if history.sent > 0 && !shared.may_retry(&request.info.id, &request.service) {
             let reply = Reply::new(Code::EndpointRefused, "The retry budget is exhausted.");
             return give_up(
                 shared,
@@ -292,7 +291,7 @@
     } else {
         Reply::new(Code::Interrupted, reply.detail)
     };
-    if shared.lines.allow(shared.now()) {
+    if shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "request_failed id={} route={} service={} config={} adapter={} sent={} runs={} refusals={} except={:?} {} code={} detail=\"{}\" left_ms={} placing_ms={} in_vain_ms={} ms={}",
             request.info.id,
@@ -336,7 +335,7 @@
     status: StatusCode,
     state: EndpointState,
 ) {
-    if shared.lines.allow(shared.now()) {
+    if shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "request_answered id={} route={} config={} adapter={} {} endpoint={} domain={} cost={:.1} prompt={} load={} reading={} limit={:?} state={:?} sent={} status={} placing_ms={} in_vain_ms={} answering_ms={} ms={}",
             request.info.id,
--- a/crates/ploverwick_gateway/src/filters/select.rs
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -74,7 +74,7 @@
     let deadline = started + timeout.mul_f64(LOAD_WAIT_RATIO);
     let mut load_requests = 0;
     loop {
-        let changed = shared.placed.notified();
+        let changed = shared.placement_changed.notified();
         let (choice, wanted) = select_holder(shared, request, key, except);
         match choice {
             Choice::Selected(target) => {
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -140,7 +140,7 @@
     let source = format_args!("answer id={}", request.info.id);
     draining::answered(shared, endpoint, head.state, &source);
     pauses::answered(shared, endpoint, &request.info.id, head.retry_after);
-    if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.lines.allow(shared.now()) {
+    if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "send_refused id={} endpoint={} statement={:?} retry_after={:?}",
             request.info.id,
@@ -241,7 +241,7 @@
     };
     tokio::pin!(answer);
     loop {
-        let declared = shared.declared.notified();
+        let declared = shared.version_declared.notified();
         let start_deadline = select::start_deadline(shared, copy).unwrap_or(limit);
         tokio::select! {
             answer = &mut answer => return Some(answer),
--- a/crates/ploverwick_gateway/src/filters/terms.rs
+++ b/crates/ploverwick_gateway/src/filters/terms.rs
@@ -48,7 +48,7 @@
     for limit in &resolved.limits {
         let (subject, column) = (&limit.subject, &limit.column);
         let result = state
-            .rates
+            .rate_limiter
             .take_shared(subject, column, limit.rate, sharers, now);
         if let Err(wait) = result {
             let detail = format!("adapter {key}, limit {} requests per second", limit.rate);
--- a/crates/ploverwick_gateway/src/lib.rs
+++ b/crates/ploverwick_gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon in front of the users' platform.
+//! The gateway daemon in front of the users' platform.
 //!
-//! Thin tasks around the decision crates: controllers follow the platform's store and keep the
-//! shared state, a chain of filters takes each request from a client to an endpoint and back.
+//! Thin tasks around the crates that make the decisions: controllers follow the platform's store and update the
+//! shared state, and a chain of filters takes each request from a client to an endpoint and back.
 
 pub mod clock;
 mod connection;
@@ -10,15 +10,15 @@
 mod filters;
 mod front;
 mod handover;
-mod journal;
+mod incarnations;
 mod listen;
-mod lives;
-mod mail;
+mod logging;
+mod messages;
 pub mod metrics;
 mod outbox;
 mod pool;
 pub mod quarantine;
-mod quarantine_news;
+mod quarantine_updates;
 mod ready;
 mod shared;
 mod state;
@@ -27,4 +27,4 @@
 mod topics;
 
 pub use daemon::{Daemon, run};
-pub use journal::set_up as set_up_logs;
+pub use logging::set_up as set_up_logs;
--- /dev/null
+++ b/crates/ploverwick_gateway/src/messages.rs
@@ -0,0 +1,330 @@
+//! Messages between instances: single datagrams, encoded with postcard.
+//!
+//! A lost message does no harm: loads are sent repeatedly, digests reveal differences in what endpoints
+//! hold, and queries are sent again.
+
+use std::net::{IpAddr, SocketAddr};
+use std::sync::{Arc, Mutex};
+
+use ploverwick_adapters::{Copy, Key, Need};
+use ploverwick_endpoints::{Entry, LimitUpdate};
+use ploverwick_names::Moment;
+use ploverwick_quarantine::DIGEST_BUCKETS;
+use ploverwick_quota::{Grant, Lease};
+use ploverwick_topics::Position;
+use ploverwick_topics::parts::{self, Reassembler};
+use serde::{Deserialize, Serialize};
+use tokio::net::UdpSocket;
+
+use crate::metrics;
+use crate::topics::{Batch, ReadStates, Topic};
+
+/// The maximum size of a datagram; the network would fragment larger ones.
+const MAX_DATAGRAM_BYTES: usize = 1_300;
+
+/// An adapter at an endpoint and the number of the sender's requests that use it.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct AdapterUse {
+    pub(crate) endpoint: Arc<str>,
+    pub(crate) copy: Copy,
+    pub(crate) in_use: u32,
+}
+
+/// The adapters of one base model that an endpoint holds.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct ModelAdapters {
+    model: Arc<str>,
+    adapters: Vec<(Arc<str>, u64)>,
+}
+
+/// The requests in progress at an endpoint.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub(crate) struct EndpointLoad {
+    pub(crate) endpoint: Arc<str>,
+    pub(crate) requests: u32,
+    /// The number of prompt tokens of requests whose answer has not begun.
+    pub(crate) reading: u32,
+}
+
+impl EndpointLoad {
+    pub(crate) fn new(endpoint: Arc<str>, load: ploverwick_endpoints::Load) -> Self {
+        Self {
+            endpoint,
+            requests: load.requests,
+            reading: load.reading,
+        }
+    }
+
+    pub(crate) fn counts(&self) -> ploverwick_endpoints::Load {
+        ploverwick_endpoints::Load {
+            requests: self.requests,
+            reading: self.reading,
+        }
+    }
+}
+
+/// The digest of the adapters that an endpoint holds.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub(crate) struct EndpointDigest {
+    pub(crate) endpoint: Arc<str>,
+    pub(crate) digest: u64,
+}
+
+/// How an adapter changed at an endpoint.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) enum ChangeKind {
+    /// The endpoint is loading it.
+    Loading,
+    /// The endpoint now holds it.
+    Loaded,
+    /// The endpoint no longer holds it.
+    Unloaded,
+}
+
+/// A change of an adapter at an endpoint.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub(crate) struct Change {
+    pub(crate) endpoint: Arc<str>,
+    pub(crate) copy: Copy,
+    pub(crate) kind: ChangeKind,
+}
+
+/// Identifies a query; an answer repeats it, which tells the sender of the query when it was sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub(crate) struct QueryId {
+    /// A random number of the process, because moments of an earlier process mean nothing to the next.
+    pub(crate) process: u64,
+    /// When it was sent, by the sender's clock.
+    pub(crate) sent_at: Moment,
+}
+
+/// A message from one instance to another.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) enum Message {
+    /// The sender is alive and has these requests in progress at endpoints.
+    Status {
+        instance: Arc<str>,
+        domain: Arc<str>,
+        /// Its CPU capacity in thousandths of a core.
+        capacity: u32,
+        /// Its fencing token, if it is the placer of its failure domain.
+        placer_token: Option<u64>,
+        /// The number of adapters that wait for placement, if it is the placer.
+        waiting: u32,
+        /// How far it has read each topic of the store, and whether it reads for others.
+        read_states: ReadStates,
+        loads: Vec<EndpointLoad>,
+    },
+    /// The requests in progress, over all instances, at endpoints of a placer's failure domain.
+    LoadTotals(Vec<EndpointLoad>),
+    /// The adapters that the sender's requests use.
+    AdapterUses(Vec<AdapterUse>),
+    /// A request needs an adapter.
+    Need { copy: Copy, need: Need },
+    /// The complete list of adapters that an endpoint holds.
+    EndpointReport {
+        endpoint: Arc<str>,
+        adapters: Vec<ModelAdapters>,
+    },
+    /// Digests of the adapters that endpoints hold; a receiver with a different digest requests a report.
+    EndpointDigests(Vec<EndpointDigest>),
+    /// Requests reports of what these endpoints hold.
+    EndpointReportRequest(Vec<Arc<str>>),
+    /// Changes of adapters at endpoints, in order.
+    Changes(Vec<Change>),
+    /// Changes in the list of endpoints, and the digest of the whole list.
+    RosterUpdate {
+        changed: Vec<Entry>,
+        removed: Vec<Arc<str>>,
+        digest: u64,
+    },
+    /// Records that the sender has read from a topic of the store.
+    Records(Batch),
+    /// How far the sender has read a topic of the store whose last record is too long for a message.
+    TopicEnd { topic: Topic, end: Position },
+    /// Requests a proof of the configuration's age.
+    ProofRequest { query_id: QueryId },
+    /// Answers `ProofRequest`: `age_ms` ago, the operator's topic held no records at or after `end`.
+    Proof {
+        query_id: QueryId,
+        end: Position,
+        age_ms: u64,
+    },
+    /// Leases the sender's shares of all quotas to the receiver's pool, and requests what its own requests need.
+    QuotaLease { query_id: QueryId, lease: Lease },
+    /// Answers `QuotaLease` with the grants of the sender's pool.
+    QuotaGrants {
+        query_id: QueryId,
+        grants: Vec<Grant>,
+    },
+    /// The sender is having a base model loaded at an endpoint of its failure domain.
+    BaseLoad,
+    /// The sender is no longer the placer of its failure domain.
+    LeaseReleased,
+    /// Quarantine entries: the crashes that are counted against requests.
+    QuarantineEntries(Vec<ploverwick_quarantine::Entry>),
+    /// Requests the limits of endpoints that the receiver knows.
+    EndpointLimitsRequest,
+    /// The limits of endpoints.
+    EndpointLimits(Vec<LimitUpdate>),
+    /// Digests of all crashes that the sender counts against requests. A receiver whose digests differ sends
+    /// the differing entries and, if `wants_reply`, its own digests.
+    QuarantineDigests {
+        digests: [u64; DIGEST_BUCKETS],
+        wants_reply: bool,
+    },
+    /// Endpoints that have reported that they are leaving.
+    Draining(Vec<Arc<str>>),
+}
+
+impl Message {
+    /// Creates the report of the adapters that an endpoint holds.
+    pub(crate) fn endpoint_report(endpoint: &Arc<str>, copies: &[Copy]) -> Self {
+        let mut models: Vec<ModelAdapters> = Vec::new();
+        for copy in copies {
+            let adapter = (Arc::clone(&copy.key.adapter), copy.version);
+            match models.iter_mut().find(|h| h.model == copy.key.model) {
+                Some(model_adapters) => model_adapters.adapters.push(adapter),
+                None => models.push(ModelAdapters {
+                    model: Arc::clone(&copy.key.model),
+                    adapters: vec![adapter],
+                }),
+            }
+        }
+        Self::EndpointReport {
+            endpoint: Arc::clone(endpoint),
+            adapters: models,
+        }
+    }
+
+    /// Returns whether a placer relays this message from another failure domain to its own, so that information
+    /// on endpoints crosses between two domains once instead of once per instance.
+    pub(crate) fn is_relayed(&self) -> bool {
+        match self {
+            Self::LoadTotals(_)
+            | Self::EndpointReport { .. }
+            | Self::EndpointDigests(_)
+            | Self::Changes(_)
+            | Self::EndpointLimits(_)
+            | Self::Draining(_)
+            | Self::QuarantineEntries(_) => true,
+            Self::Status { .. }
+            | Self::AdapterUses(_)
+            | Self::Need { .. }
+            | Self::EndpointReportRequest(_)
+            | Self::RosterUpdate { .. }
+            | Self::Records(_)
+            | Self::TopicEnd { .. }
+            | Self::ProofRequest { .. }
+            | Self::Proof { .. }
+            | Self::QuotaLease { .. }
+            | Self::QuotaGrants { .. }
+            | Self::EndpointLimitsRequest
+            | Self::BaseLoad
+            | Self::LeaseReleased
+            | Self::QuarantineDigests { .. } => false,
+        }
+    }
+}
+
+/// Returns the adapters of a report.
+pub(crate) fn copies(adapters: Vec<ModelAdapters>) -> Vec<Copy> {
+    let copies = adapters.into_iter().flat_map(|model_adapters| {
+        let model = model_adapters.model;
+        model_adapters
+            .adapters
+            .into_iter()
+            .map(move |(adapter, version)| {
+                let key = Key {
+                    model: Arc::clone(&model),
+                    adapter,
+                };
+                Copy { key, version }
+            })
+    });
+    copies.collect()
+}
+
+/// The UDP socket for messages between instances.
+#[derive(Debug)]
+pub(crate) struct PeerSocket {
+    socket: UdpSocket,
+    /// The port that all instances use.
+    port: u16,
+    parts: Mutex<Reassembler>,
+}
+
+impl PeerSocket {
+    /// Binds the socket to an address whose port all instances use.
+    pub(crate) async fn open(address: SocketAddr) -> std::io::Result<Self> {
+        let socket = UdpSocket::bind(address).await?;
+        Ok(Self {
+            socket,
+            port: address.port(),
+            parts: Mutex::default(),
+        })
+    }
+
+    /// Sends a message to instances.
+    pub(crate) fn send(&self, message: &Message, to: &[IpAddr]) {
+        let bytes = match postcard::to_stdvec(message) {
+            Ok(bytes) if bytes.len() <= parts::MAX_MESSAGE_BYTES => bytes,
+            Ok(bytes) => {
+                spdlog::warn!("message_too_long bytes={}", bytes.len());
+                return;
+            }
+            Err(error) => {
+                spdlog::warn!("message_unwritable cause=\"{}\"", error);
+                return;
+            }
+        };
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            return self.send_datagram(&bytes, to);
+        }
+        for part in parts::split(&bytes, MAX_DATAGRAM_BYTES) {
+            self.send_datagram(&part, to);
+        }
+    }
+
+    fn send_datagram(&self, bytes: &[u8], to: &[IpAddr]) {
+        metrics::datagrams(to.len(), bytes.len());
+        for ip in to {
+            // A full send buffer drops the message, as the network may.
+            if let Err(error) = self.socket.try_send_to(bytes, (*ip, self.port).into()) {
+                spdlog::debug!("message_lost to={} cause=\"{}\"", ip, error);
+            }
+        }
+    }
+
+    /// Waits for the next datagram; returns `None` if it could not be read or does not complete a message.
+    pub(crate) async fn receive(&self, buffer: &mut [u8]) -> Option<(Message, IpAddr)> {
+        let (length, from) = match self.socket.recv_from(buffer).await {
+            Ok(received) => received,
+            Err(error) => {
+                spdlog::warn!("message_unread cause=\"{}\"", error);
+                tokio::task::yield_now().await;
+                return None;
+            }
+        };
+        let datagram = &buffer[..length];
+        if parts::is_part(datagram) {
+            let whole = self
+                .parts
+                .lock()
+                .expect("no holder of the lock panics")
+                .add_part(datagram, from.ip())?;
+            return decode(&whole, from);
+        }
+        decode(datagram, from)
+    }
+}
+
+fn decode(bytes: &[u8], from: SocketAddr) -> Option<(Message, IpAddr)> {
+    match postcard::from_bytes(bytes) {
+        Ok(message) => Some((message, from.ip())),
+        Err(error) => {
+            spdlog::warn!("message_malformed from={} cause=\"{}\"", from, error);
+            None
+        }
+    }
+}
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -1,6 +1,6 @@
-//! What tasks share: settings, the store, the messages, and the state.
+//! The data that all tasks share: settings, the store client, the peer socket and the state.
 //!
-//! One lock guards the state. It is held for single steps and never across a wait.
+//! One lock guards the state. It is held for single steps and never across an await.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,104 +17,103 @@
 use tokio::sync::{Notify, watch};
 
 use crate::clock::Clock;
-use crate::journal::Lines;
-use crate::mail::{Mail, Question};
+use crate::logging::LogLimiter;
+use crate::messages::{PeerSocket, QueryId};
 use crate::metrics;
 use crate::outbox::Outbox;
 use crate::pool::Pool;
-use crate::quarantine_news::News;
-use crate::state::{Listing, PEER_AGE, State, place};
+use crate::quarantine_updates::QuarantineUpdates;
+use crate::state::{InstanceListState, PEER_TIMEOUT, State, own_candidate};
 use crate::topics::{Inboxes, Topic};
 
-/// How long a grant of the right to place adapters lasts. A shorter one is taken over sooner, a
-/// longer one survives more lost calls, and a restart of the whole system, after which its holder goes
-/// on under the same token.
-pub(crate) const TENURE: Duration = Duration::from_millis(2_800);
-/// How long a placer goes on while the store is silent; outages on record last up to 9 s, and a
-/// holder that goes on for too long only meets refusals.
-const EXTENSION: Duration = Duration::from_secs(8);
-/// The instances of a failure domain that stand by for the right beside its holder. One takes over
-/// while another one dies or cannot reach the store; each call is priced.
-pub(crate) const STANDBYS: usize = 2;
+/// How long a placer's lease lasts. A shorter lease is taken over sooner. A longer one survives more lost
+/// calls, and a restart of the whole system, after which its holder continues with the same token.
+pub(crate) const PLACER_LEASE_DURATION: Duration = Duration::from_millis(2_800);
+/// How long a placer continues after its lease expires while the store does not answer. Recorded outages
+/// last up to 9 s, and endpoints refuse the orders of a holder that continues for too long.
+const LEASE_EXTENSION: Duration = Duration::from_secs(8);
+/// The maximum number of standbys for the lease per failure domain. With two, one can take over while the
+/// other fails or cannot reach the store. There are no more because each call to the store is charged for.
+pub(crate) const MAX_STANDBYS: usize = 2;
 
-/// The part of the bound on revoked keys up to which requests with keys are served. The rest is for clocks
-/// that run at other paces, and the time between the look at the clock and at the key.
-const TRUSTED_SHARE: f64 = 0.97;
-/// The part of it after which new connections should go to other instances: this one will soon refuse, and
-/// the platform takes some 2 s to send clients elsewhere.
-const CONFIRMED_SHARE: f64 = 0.6;
+/// The fraction of the revocation bound up to which the configuration's age allows requests with keys. The
+/// rest covers clock drift, and the time between reading the clock and checking the key.
+const SERVE_AGE_SHARE: f64 = 0.97;
+/// The fraction of the revocation bound up to which this instance is ready for new connections. Beyond it,
+/// this instance will soon refuse requests, and the platform takes about 2 s to direct clients elsewhere.
+const READY_AGE_SHARE: f64 = 0.6;
 
-/// What all tasks share.
+/// The data that all tasks share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
     pub(crate) store: Store,
     pub(crate) pool: Pool,
-    pub(crate) mail: Mail,
+    pub(crate) peer_socket: PeerSocket,
     pub(crate) outbox: Outbox,
-    /// What is to be told of crashes that are counted against requests.
-    pub(crate) quarantine_news: News,
-    pub(crate) lines: Lines,
-    /// Whether clients' connections can be taken.
-    takes_connections: AtomicBool,
-    /// Whether the token of the right to place adapters must outlast this process.
-    pub(crate) keeps_token: bool,
+    /// The quarantine entries whose changes have not been sent to peers yet.
+    pub(crate) quarantine_updates: QuarantineUpdates,
+    pub(crate) log_limiter: LogLimiter,
+    /// Whether client connections can be accepted.
+    is_accepting: AtomicBool,
+    /// Whether the placer's fencing token is stored, so that the next process of this instance knows it.
+    pub(crate) persists_token: bool,
     /// Wakes requests that wait for an adapter.
-    pub(crate) placed: Notify,
-    /// What peers told of the topics of the store.
+    pub(crate) placement_changed: Notify,
+    /// The records that peers sent of each topic of the store.
     pub(crate) inboxes: Inboxes,
-    /// Whether the last call that followed a topic failed.
-    pub(crate) store_away: watch::Sender<bool>,
-    /// Wakes requests under way when a version is declared.
-    pub(crate) declared: Notify,
-    /// Says that the placer of this failure domain gave up its right.
-    pub(crate) vacant: Notify,
-    /// Wakes the tasks that give orders.
-    pub(crate) orders: Notify,
-    /// Says that a request waits for its organisation's quota.
-    pub(crate) quota_wanted: Notify,
+    /// Whether the last read of a topic failed.
+    pub(crate) store_unavailable: watch::Sender<bool>,
+    /// Wakes requests in progress when an adapter version is declared.
+    pub(crate) version_declared: Notify,
+    /// Signals that the placer of this failure domain has released its lease.
+    pub(crate) lease_released: Notify,
+    /// Wakes the tasks that send orders to endpoints.
+    pub(crate) orders_changed: Notify,
+    /// Signals that a request waits for its organisation's quota.
+    pub(crate) quota_requested: Notify,
     /// Wakes requests that wait for their organisations' quotas.
-    pub(crate) quota_settled: Notify,
-    /// Says that the process is asked to stop.
+    pub(crate) quota_decided: Notify,
+    /// Whether the process has been asked to stop.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Tells questions of this process from those of an earlier one at the same address.
-    life: u64,
+    /// Distinguishes queries of this process from those of an earlier one at the same address.
+    process_nonce: u64,
     state: Mutex<State>,
 }
 
 impl Shared {
-    pub(crate) fn new(settings: Settings, mail: Mail) -> Self {
+    pub(crate) fn new(settings: Settings, peer_socket: PeerSocket) -> Self {
         let clock = Clock::start();
-        let terms = LeasePolicy {
-            duration: TENURE.max(settings.shortest_ttl),
+        let lease_policy = LeasePolicy {
+            duration: PLACER_LEASE_DURATION.max(settings.shortest_ttl),
             reacquire_delay: settings.lease,
             fenced: settings.fenced,
-            extension: EXTENSION,
+            extension: LEASE_EXTENSION,
             min_stable: settings.calm,
         };
-        let state = State::new(&settings, terms, clock.now());
+        let state = State::new(&settings, lease_policy, clock.now());
         Self {
-            takes_connections: AtomicBool::new(true),
-            keeps_token: terms.waits_after_restart(),
+            is_accepting: AtomicBool::new(true),
+            persists_token: lease_policy.waits_after_restart(),
             store: Store::new(settings.store, settings.partitions),
             settings,
             pool: Pool::new(clock.clone()),
             clock,
-            mail,
+            peer_socket,
             outbox: Outbox::default(),
-            quarantine_news: News::default(),
-            lines: Lines::default(),
-            placed: Notify::new(),
+            quarantine_updates: QuarantineUpdates::default(),
+            log_limiter: LogLimiter::default(),
+            placement_changed: Notify::new(),
             inboxes: Inboxes::default(),
-            store_away: watch::Sender::new(false),
-            declared: Notify::new(),
-            vacant: Notify::new(),
-            orders: Notify::new(),
-            quota_wanted: Notify::new(),
-            quota_settled: Notify::new(),
+            store_unavailable: watch::Sender::new(false),
+            version_declared: Notify::new(),
+            lease_released: Notify::new(),
+            orders_changed: Notify::new(),
+            quota_requested: Notify::new(),
+            quota_decided: Notify::new(),
             stopping: watch::Sender::new(false),
-            life: rand::random(),
+            process_nonce: rand::random(),
             state: Mutex::new(state),
         }
     }
@@ -128,46 +127,47 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Makes a question that is asked now.
-    pub(crate) fn question(&self, now: Moment) -> Question {
-        Question {
-            life: self.life,
-            at: now,
+    /// Creates the identifier of a query that is sent now.
+    pub(crate) fn query_id(&self, now: Moment) -> QueryId {
+        QueryId {
+            process: self.process_nonce,
+            sent_at: now,
         }
     }
 
-    /// Returns whether this process asked a question.
-    pub(crate) fn asked(&self, question: Question) -> bool {
-        question.life == self.life && question.at <= self.now()
+    /// Returns whether this process sent a query.
+    pub(crate) fn is_own_query(&self, query_id: QueryId) -> bool {
+        query_id.process == self.process_nonce && query_id.sent_at <= self.now()
     }
 
-    /// Returns whether the process is asked to stop.
+    /// Returns whether the process has been asked to stop.
     pub(crate) fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Returns whether the process can serve.
+    /// Returns whether this instance is ready for new connections.
     pub(crate) fn is_ready(&self) -> bool {
-        let can_take = self.takes_connections.load(Ordering::Relaxed);
+        let can_accept = self.is_accepting.load(Ordering::Relaxed);
         let state = self.state();
-        let knows_all = state.config.is_some() && state.has_roster && state.has_table;
-        let is_fresh = self.is_younger_than(&state, CONFIRMED_SHARE);
+        let is_loaded = state.config.is_some() && state.has_roster && state.has_table;
+        let is_fresh = self.is_fresher_than(&state, READY_AGE_SHARE);
         let has_quotas = state
             .config
             .as_ref()
             .is_some_and(|config| config.has_quotas());
         let can_count = !has_quotas || state.allocation.has_leased();
-        knows_all && is_fresh && can_count && can_take && !self.is_stopping()
+        is_loaded && is_fresh && can_count && can_accept && !self.is_stopping()
     }
 
-    /// Returns whether a key may have been revoked for so long that requests with it must not run any more.
+    /// Returns whether the configuration is so old that a key may have been revoked for longer than the bound
+    /// allows.
     pub(crate) fn is_stale(&self) -> bool {
-        !self.is_younger_than(&self.state(), TRUSTED_SHARE)
+        !self.is_fresher_than(&self.state(), SERVE_AGE_SHARE)
     }
 
-    /// Returns whether the configuration is proven to be younger than a part of the bound on revoked keys,
-    /// or there is no such bound.
-    fn is_younger_than(&self, state: &State, share: f64) -> bool {
+    /// Returns whether the configuration is proven to be younger than a fraction of the revocation bound, or
+    /// no such bound applies.
+    fn is_fresher_than(&self, state: &State, share: f64) -> bool {
         let has_keys = |config: &Arc<Config>| config.organisations().is_some();
         match self.settings.revocation {
             Some(bound) if state.config.as_ref().is_some_and(has_keys) => {
@@ -178,89 +178,94 @@
         }
     }
 
-    /// Says whether clients' connections can be taken.
-    pub(crate) fn takes_connections(&self, can_take: bool) {
-        self.takes_connections.store(can_take, Ordering::Relaxed);
+    /// Sets whether client connections can be accepted.
+    pub(crate) fn set_accepting(&self, can_accept: bool) {
+        self.is_accepting.store(can_accept, Ordering::Relaxed);
     }
 
-    /// Returns whether this instance is among those of its failure domain that call the store for the
-    /// others: it places adapters, or stands by to do so.
-    pub(crate) fn is_caller(&self) -> bool {
+    /// Returns whether this instance calls the store on behalf of its failure domain, which it does as the
+    /// placer or a standby.
+    pub(crate) fn polls_store(&self) -> bool {
         let now = self.now();
         let state = self.state();
-        state.tenure.is_held(now) || state.rank(&self.settings, now) < STANDBYS
+        state.placer_lease.is_held(now) || state.rank(&self.settings, now) < MAX_STANDBYS
     }
 
-    /// Returns what this instance is to the peers of its failure domain for a topic of the store. Whoever
-    /// places adapters reads itself, as other failure domains hear of the topics' ends from it.
-    pub(crate) fn circle(&self, topic: Topic) -> Role {
+    /// Returns this instance's role in its failure domain for a topic of the store. The placer always reads
+    /// by itself, because it reports the ends of the topics to other failure domains.
+    pub(crate) fn role(&self, topic: Topic) -> Role {
         let now = self.now();
         let state = self.state();
-        if state.tenure.is_held(now) {
+        if state.placer_lease.is_held(now) {
             return Role::Reader;
         }
         let peers = state.peers.iter().filter(|(_, peer)| {
-            let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
-            is_heard && peer.domain == self.settings.domain
+            let is_alive = peer
+                .last_seen
+                .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
+            is_alive && peer.domain == self.settings.domain
         });
         let peers = peers.map(|(name, peer)| ploverwick_topics::Peer {
-            candidate: peer.place(name),
-            reading: peer.stands.of(topic).reading,
+            candidate: peer.candidate(name),
+            reading: peer.read_states.of(topic).reading,
         });
-        ploverwick_topics::role(place(&self.settings), peers)
+        ploverwick_topics::role(own_candidate(&self.settings), peers)
     }
 
-    /// Takes a repeat of a request out of its service's budget; `false` if there is none left.
-    pub(crate) fn may_repeat(&self, id: &str, service: &Arc<str>) -> bool {
+    /// Charges a retry of a request to its service's budget; returns `false` if the budget is exhausted.
+    pub(crate) fn may_retry(&self, id: &str, service: &Arc<str>) -> bool {
         let now = self.now();
         let mut state = self.state();
-        let account = state.repeat(service, self.repeat_rate(), now);
-        let instances = state.census.max_in_window(self.repeat_rate(), now);
+        let balance = state.try_retry(service, self.retry_policy(), now);
+        let instances = state.instance_count.max_in_window(self.retry_policy(), now);
         drop(state);
-        let is_granted = account.allows_retry();
-        metrics::repeat(is_granted);
-        if self.lines.allow(now) {
+        let is_granted = balance.allows_retry();
+        metrics::retry(is_granted);
+        if self.log_limiter.allow(now) {
             spdlog::info!(
                 "request_repeated id={} service={} granted={} earned={:.2} spent={:.2} share={:.2} instances={:?}",
                 id,
                 service,
                 is_granted,
-                account.earned,
-                account.spent,
-                account.share,
+                balance.earned,
+                balance.spent,
+                balance.share,
                 instances
             );
         }
         is_granted
     }
 
-    /// Takes in that the list of instances may have changed.
+    /// Records the number of listed instances, which may have changed.
     pub(crate) fn count_instances(&self, state: &mut State) {
-        if state.listing == Listing::Listed {
+        if state.instance_list == InstanceListState::Listed {
             let instances = state.peers.len() + 1;
             state
-                .census
-                .record(instances, self.repeat_rate(), self.now());
+                .instance_count
+                .record(instances, self.retry_policy(), self.now());
         }
     }
 
-    /// Returns the largest number of instances that were listed lately; `None` until this one was among them.
-    pub(crate) fn listed(&self, state: &State) -> Option<usize> {
-        state.census.max_in_window(self.repeat_rate(), self.now())
+    /// Returns the largest number of instances that were listed within the retry window; `None` until this
+    /// instance is listed itself.
+    pub(crate) fn max_instances(&self, state: &State) -> Option<usize> {
+        state
+            .instance_count
+            .max_in_window(self.retry_policy(), self.now())
     }
 
-    /// Returns how many instances share what is bounded over all of them, as far as that is proven:
-    /// what one spent that has just left still counts.
+    /// Returns how many instances share the global limits, if that is known. An instance that has just left
+    /// is included, because what it used still counts.
     pub(crate) fn sharers(&self, state: &State) -> Sharers {
-        let most = self.listed(state);
-        match (state.census.known_since(), most) {
+        let max_count = self.max_instances(state);
+        match (state.instance_count.known_since(), max_count) {
             (Some(since), Some(count)) => Sharers::Known { count, since },
             (None, _) | (_, None) => Sharers::Unknown,
         }
     }
 
-    /// Returns the bound on repeats.
-    fn repeat_rate(&self) -> RetryPolicy {
+    /// Returns the limit on retries.
+    fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
             ratio: self.settings.repeat_ratio,
             allowance: self.settings.repeat_allowance,
--- a/crates/ploverwick_gateway/tests/suspended_machine.rs
+++ b/crates/ploverwick_gateway/tests/suspended_machine.rs
@@ -12,6 +12,7 @@
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// A clock that includes the time of suspension.
+
 fn boot_time() -> Duration {
     static START: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     let start = START.get_or_init(Instant::now);
@@ -20,7 +21,7 @@
 
 #[gtest]
 fn suspension_is_counted() {
-    let clock = Clock::beside(boot_time);
+    let clock = Clock::with_boot_clock(boot_time);
     let copy = clock.clone();
     let before = clock.now();
     SUSPENDED_MS.fetch_add(5_000, Ordering::Relaxed);
