--- /dev/null
+++ b/crates/ploverwick_gateway/src/broadcast.rs
@@ -0,0 +1,256 @@
+//! Messages that this instance sends to other instances.
+//!
+//! Instances of a failure domain send messages to each other directly. What concerns endpoints crosses to
+//! another failure domain only through its placer, which forwards it there. The number of messages and bytes
+//! between two domains therefore does not grow with the product of their instance counts.
+
+mod batches;
+mod periodic;
+pub(crate) mod quarantine;
+
+use std::net::IpAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ploverwick_adapters::{Copy, Event, Need};
+use ploverwick_endpoints::{Entry, LimitUpdate, State as EndpointState};
+use ploverwick_names::Moment;
+use ploverwick_topics::Position;
+
+use crate::mail::{Change, Fate, Message};
+use crate::outbox;
+use crate::shared::Shared;
+use crate::state::State;
+use crate::topics::{Told, Topic};
+
+pub(crate) use periodic::run;
+
+/// How long changes at endpoints are collected into one message. It adds to the latency of a request that
+/// waits for a load in another failure domain, which is about 260 ms.
+const BATCH_DELAY: Duration = Duration::from_millis(25);
+
+/// The maximum number of peers of its failure domain that an instance asks for the limits of endpoints after
+/// it starts.
+const MAX_PEERS_ASKED: usize = 4;
+
+/// Asks the instance at `ip` to have an adapter loaded.
+pub(crate) fn send_need(shared: &Shared, ip: IpAddr, copy: &Copy, need: Need) {
+    let message = Message::Need {
+        copy: copy.clone(),
+        need,
+    };
+    shared.mail.send(&message, &[ip]);
+}
+
+/// Queues a change at an endpoint of this failure domain, and sends the pending changes to the domain's
+/// instances at once if they are urgent or fill a message.
+pub(crate) fn send_event(shared: &Shared, endpoint: &Arc<str>, event: &Event) {
+    let (copy, fate) = match event {
+        Event::Loading(copy) => (copy, Fate::Coming),
+        Event::Loaded(copy) => (copy, Fate::Loaded),
+        Event::Unloaded(copy) => (copy, Fate::Unloaded),
+        Event::Reported(copies) => return send_reported(shared, endpoint, copies),
+        Event::BaseLoaded(_) => return,
+    };
+    let change = Change {
+        endpoint: Arc::clone(endpoint),
+        copy: copy.clone(),
+        fate,
+    };
+    if shared.outbox.add(change) {
+        let to = domain_peers(shared, &shared.state());
+        send_changes(shared, shared.outbox.take_near(), &to);
+    }
+}
+
+/// Sends the complete holdings of an endpoint, after the pending changes that precede them.
+fn send_reported(shared: &Shared, endpoint: &Arc<str>, copies: &[Copy]) {
+    flush(shared);
+    let now = shared.now();
+    let state = shared.state();
+    let mut to = domain_peers(shared, &state);
+    to.extend(remote_relays(shared, &state, now));
+    drop(state);
+    shared.mail.send(&Message::holds(endpoint, copies), &to);
+}
+
+/// Sends pending changes in batches, for as long as the process runs.
+pub(crate) async fn run_outbox(shared: Arc<Shared>) {
+    loop {
+        shared.outbox.added().await;
+        tokio::time::sleep(BATCH_DELAY).await;
+        flush(&shared);
+    }
+}
+
+fn flush(shared: &Shared) {
+    let waiting = shared.outbox.take();
+    if waiting.far.is_empty() && waiting.passed_on.is_empty() {
+        return;
+    }
+    let now = shared.now();
+    let state = shared.state();
+    let local = domain_peers(shared, &state);
+    let relays = remote_relays(shared, &state, now);
+    drop(state);
+    send_changes(shared, waiting.near, &local);
+    send_changes(shared, waiting.far, &relays);
+    send_changes(shared, waiting.passed_on, &local);
+}
+
+fn send_changes(shared: &Shared, changes: Vec<Change>, to: &[IpAddr]) {
+    for list in outbox::cut(changes) {
+        shared.mail.send(&Message::Changes(list), to);
+    }
+}
+
+/// Notifies the peers of this failure domain that this instance has left the placer group, so that one of
+/// them may become the placer.
+pub(crate) fn send_vacant(shared: &Shared) {
+    let to = domain_peers(shared, &shared.state());
+    shared.mail.send(&Message::Vacant, &to);
+}
+
+/// Notifies the peers of this failure domain that a base model is being loaded, because each of them may
+/// become the placer and must count the load.
+pub(crate) fn send_base_load(shared: &Shared) {
+    let to = domain_peers(shared, &shared.state());
+    shared.mail.send(&Message::BaseLoad, &to);
+}
+
+/// Sends all instances the limit of an endpoint that an answer to this instance changed.
+pub(crate) fn send_limit(shared: &Shared, update: LimitUpdate) {
+    let now = shared.now();
+    let state = shared.state();
+    let mut to = domain_peers(shared, &state);
+    to.extend(remote_relays(shared, &state, now));
+    drop(state);
+    shared
+        .mail
+        .send(&Message::EndpointLimits(vec![update]), &to);
+}
+
+/// Notifies all instances of endpoints whose answers to this instance reported that they are leaving.
+pub(crate) fn send_draining(shared: &Shared, endpoints: Vec<Arc<str>>) {
+    let now = shared.now();
+    let state = shared.state();
+    let mut to = domain_peers(shared, &state);
+    to.extend(remote_relays(shared, &state, now));
+    drop(state);
+    shared.mail.send(&Message::Draining(endpoints), &to);
+}
+
+/// Sends the instance at `ip` all endpoints that this instance knows to be draining.
+pub(crate) fn send_all_draining(shared: &Shared, ip: IpAddr) {
+    let state = shared.state();
+    let entries = state.fleet.entries();
+    let draining = entries.filter(|entry| entry.state == EndpointState::Draining);
+    let draining: Vec<Arc<str>> = draining.map(|entry| Arc::clone(&entry.id)).collect();
+    drop(state);
+    for part in draining.chunks(periodic::MAX_ITEMS_PER_MESSAGE) {
+        shared.mail.send(&Message::Draining(part.to_vec()), &[ip]);
+    }
+}
+
+/// Asks some peers for the limits of endpoints that they know; returns `false` if no peer can be asked yet.
+///
+/// An instance that has just started knows no limits. Without asking, it would send at an unlimited rate
+/// until the next answer or the next periodic update from a peer.
+pub(crate) fn request_limits(shared: &Shared) -> bool {
+    let now = shared.now();
+    let state = shared.state();
+    let mut to = domain_peers(shared, &state);
+    to.truncate(MAX_PEERS_ASKED);
+    if to.is_empty() {
+        to = remote_relays(shared, &state, now);
+    }
+    // Limits of endpoints that are not on the list yet would be dropped.
+    let can_ask = state.has_roster && !to.is_empty();
+    drop(state);
+    if can_ask {
+        shared.mail.send(&Message::AskEndpointLimits, &to);
+    }
+    can_ask
+}
+
+/// Sends the instance at `ip` all limits of endpoints that this instance knows.
+pub(crate) fn send_all_limits(shared: &Shared, ip: IpAddr) {
+    let now = shared.now();
+    let known = shared.state().limits.updates(now);
+    for part in known.chunks(periodic::MAX_ITEMS_PER_MESSAGE) {
+        let message = Message::EndpointLimits(part.to_vec());
+        shared.mail.send(&message, &[ip]);
+    }
+}
+
+/// Forwards a message from the placer of another failure domain to the peers of this one.
+pub(crate) fn forward(shared: &Shared, message: &Message) {
+    let to = domain_peers(shared, &shared.state());
+    shared.mail.send(message, &to);
+}
+
+/// Sends the peers of this failure domain the changes to the list of endpoints.
+pub(crate) fn send_list_changes(
+    shared: &Shared,
+    changed: Vec<Entry>,
+    gone: Vec<Arc<str>>,
+    digest: u64,
+) {
+    let peers = domain_peers(shared, &shared.state());
+    for message in batches::list_messages(changed, gone, digest) {
+        shared.mail.send(&message, &peers);
+    }
+}
+
+/// Sends the peers of this failure domain the records of a topic from `from` up to but excluding `next`.
+/// Peers read records that are too long for a message from the store themselves.
+pub(crate) fn send_records(
+    shared: &Shared,
+    topic: Topic,
+    from: Position,
+    next: Position,
+    records: Vec<Told>,
+) {
+    let peers = domain_peers(shared, &shared.state());
+    for message in batches::record_messages(topic, from, next, records) {
+        shared.mail.send(&message, &peers);
+    }
+}
+
+/// Asks the instance at `ip` for the holdings of endpoints.
+pub(crate) fn request_holdings(shared: &Shared, ip: IpAddr, endpoints: Vec<Arc<str>>) {
+    shared.mail.send(&Message::AskHolds(endpoints), &[ip]);
+}
+
+/// Sends the instance at `ip` the holdings of endpoints, as far as this instance knows them.
+pub(crate) fn send_holdings(shared: &Shared, ip: IpAddr, endpoints: &[Arc<str>]) {
+    for endpoint in endpoints {
+        let held = shared.state().directory.held(endpoint);
+        if let Some(held) = held {
+            shared.mail.send(&Message::holds(endpoint, &held), &[ip]);
+        }
+    }
+}
+
+fn domain_peers(shared: &Shared, state: &State) -> Vec<IpAddr> {
+    let peers = state.peers.values();
+    let local = peers.filter(|peer| peer.domain == shared.settings.domain);
+    local.map(|peer| peer.ip).collect()
+}
+
+/// Returns the instances that forward messages within other failure domains: the placer, or every instance of
+/// a domain without one.
+fn remote_relays(shared: &Shared, state: &State, now: Moment) -> Vec<IpAddr> {
+    let mut relays = Vec::new();
+    let domains = shared.settings.domains.iter();
+    for domain in domains.filter(|domain| **domain != shared.settings.domain) {
+        match state.placer_of(domain, now) {
+            Some(placer) => relays.push(placer),
+            None => {
+                let peers = state.peers.values().filter(|peer| peer.domain == *domain);
+                relays.extend(peers.map(|peer| peer.ip));
+            }
+        }
+    }
+    relays
+}
--- /dev/null
+++ b/crates/ploverwick_gateway/src/broadcast/periodic.rs
@@ -0,0 +1,263 @@
+//! Periodic messages: the load of this instance, the adapters that its requests use, and, if it is the
+//! placer, the load totals and digests of its failure domain.
+
+use std::collections::HashMap;
+use std::net::IpAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ploverwick_names::Moment;
+
+use super::{domain_peers, remote_relays};
+use crate::controllers::limits;
+use crate::mail::{Digest, Load, Message, Used};
+use crate::shared::Shared;
+use crate::state::State;
+
+/// The maximum number of loads, digests, limits or endpoints in one message; half of it for adapters in use.
+pub(super) const MAX_ITEMS_PER_MESSAGE: usize = 48;
+/// The interval between rounds of messages to peers of the same failure domain.
+const INTERVAL: Duration = Duration::from_millis(150);
+/// The maximum number of peers of the same failure domain that receive the status in each round. In a larger
+/// domain they take turns, so that the number of messages per instance stays bounded.
+const MAX_STATUS_RECIPIENTS: usize = 8;
+/// The number of rounds between load totals from the placer to its own failure domain.
+const TOTALS_INTERVAL_ROUNDS: u32 = 2;
+/// The number of rounds between messages to other failure domains, which are rarer because traffic between
+/// failure domains is expensive.
+const REMOTE_INTERVAL_ROUNDS: u32 = 4;
+/// How long an instance that has left still receives the status. A restart takes a few seconds, and an
+/// instance that restarts during an outage of the store has no other way to discover its peers.
+const FORMER_PEER_RETENTION: Duration = Duration::from_secs(20);
+/// How many times an instance asks for the limits of endpoints after it starts, because messages may be lost.
+const MAX_LIMIT_REQUESTS: u32 = 3;
+/// The number of rounds between digests of holdings and crashes, limits of endpoints, and draining endpoints.
+const DIGEST_INTERVAL_ROUNDS: u32 = 14;
+
+/// Sends the periodic messages for as long as the process runs.
+pub(crate) async fn run(shared: Arc<Shared>) {
+    let mut round: u32 = 0;
+    let mut limit_requests = 0;
+    loop {
+        tokio::time::sleep(INTERVAL).await;
+        round = round.wrapping_add(1);
+        if limit_requests < MAX_LIMIT_REQUESTS && super::request_limits(&shared) {
+            limit_requests += 1;
+        }
+        let outgoing = build_messages(&shared, round);
+        for (message, to) in outgoing {
+            shared.mail.send(&message, &to);
+        }
+    }
+}
+
+fn build_messages(shared: &Shared, round: u32) -> Vec<(Message, Vec<IpAddr>)> {
+    let now = shared.now();
+    let mut state = shared.state();
+    // A gap between ticks that exceeds the interval reveals that the process was suspended.
+    state.horizon.tick(now);
+    limits::assign_shares(shared, &mut state, now);
+    let places = state.tenure.token(now);
+    let is_remote_round = round.is_multiple_of(REMOTE_INTERVAL_ROUNDS);
+    let mut to = status_recipients(shared, &state, round, now);
+    if is_remote_round {
+        state
+            .former
+            .retain(|(_, left)| now.since(*left) < FORMER_PEER_RETENTION);
+        to.extend(state.former.iter().map(|(ip, _)| *ip));
+    }
+    let mut messages = vec![(status(shared, &state, places, |_| true), to)];
+    if is_remote_round {
+        remote_statuses(shared, &state, places, now, &mut messages);
+    }
+    if places.is_some() {
+        let local = domain_peers(shared, &state);
+        if round.is_multiple_of(TOTALS_INTERVAL_ROUNDS) {
+            let mut to = local.clone();
+            if is_remote_round {
+                to.extend(remote_relays(shared, &state, now));
+            }
+            chunks(
+                totals(shared, &state, now),
+                &to,
+                Message::Totals,
+                &mut messages,
+            );
+        }
+        if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) {
+            let mut to = local;
+            to.extend(remote_relays(shared, &state, now));
+            chunks(digests(&state), &to, Message::Digests, &mut messages);
+        }
+    }
+    if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) {
+        let mut to = domain_peers(shared, &state);
+        to.extend(remote_relays(shared, &state, now));
+        let updates = state
+            .limits
+            .recent_updates(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
+        chunks(updates, &to, Message::EndpointLimits, &mut messages);
+        let draining = state
+            .departures
+            .recent(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
+        chunks(draining, &to, Message::Draining, &mut messages);
+    }
+    if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) && !state.quarantine.is_empty() {
+        let mut to = status_recipients(shared, &state, round, now);
+        if places.is_some() {
+            to.extend(remote_relays(shared, &state, now));
+        }
+        let digests = state.quarantine.digests();
+        messages.push((
+            Message::QuarantineDigests {
+                digests,
+                asks: true,
+            },
+            to,
+        ));
+    }
+    report_uses(shared.settings.ip.into(), &mut state, now, &mut messages);
+    messages
+}
+
+/// Splits a list into messages of bounded size.
+fn chunks<T>(
+    mut list: Vec<T>,
+    to: &[IpAddr],
+    message: impl Fn(Vec<T>) -> Message,
+    messages: &mut Vec<(Message, Vec<IpAddr>)>,
+) {
+    while !list.is_empty() {
+        let rest = list.split_off(list.len().min(MAX_ITEMS_PER_MESSAGE));
+        messages.push((message(std::mem::replace(&mut list, rest)), to.to_vec()));
+    }
+}
+
+/// Returns the peers of this failure domain that receive the status in this round. The placer always does.
+fn status_recipients(shared: &Shared, state: &State, round: u32, now: Moment) -> Vec<IpAddr> {
+    let mut local = domain_peers(shared, state);
+    if local.len() <= MAX_STATUS_RECIPIENTS {
+        return local;
+    }
+    local.sort_unstable();
+    let first = round as usize * MAX_STATUS_RECIPIENTS % local.len();
+    local.rotate_left(first);
+    local.truncate(MAX_STATUS_RECIPIENTS);
+    if let Some(placer) = state.placer_of(&shared.settings.domain, now)
+        && !local.contains(&placer)
+    {
+        local.push(placer);
+    }
+    local
+}
+
+fn status(
+    shared: &Shared,
+    state: &State,
+    places: Option<u64>,
+    is_relevant: impl Fn(&str) -> bool,
+) -> Message {
+    let loads = state.fleet.own_loads().into_iter();
+    let loads = loads.filter(|(endpoint, _)| is_relevant(endpoint));
+    let loads = loads.map(|(endpoint, load)| Load::new(endpoint, load));
+    Message::Status {
+        instance: Arc::clone(&shared.settings.instance),
+        domain: Arc::clone(&shared.settings.domain),
+        capacity: shared.settings.capacity,
+        places,
+        waiting: u32::try_from(state.placer.waiting()).unwrap_or(u32::MAX),
+        stands: state.stands,
+        loads: loads.collect(),
+    }
+}
+
+/// Adds status messages to other failure domains with the load at their endpoints. They go to the relays of
+/// each domain; a placer sends them to all instances, so that they know it.
+fn remote_statuses(
+    shared: &Shared,
+    state: &State,
+    places: Option<u64>,
+    now: Moment,
+    messages: &mut Vec<(Message, Vec<IpAddr>)>,
+) {
+    let relays = remote_relays(shared, state, now);
+    let others = shared.settings.domains.iter();
+    for domain in others.filter(|domain| **domain != shared.settings.domain) {
+        let is_in_domain = |id: &str| {
+            let entry = state.fleet.entry(id);
+            entry.is_some_and(|entry| entry.domain == *domain)
+        };
+        let peers = state.peers.values().filter(|peer| peer.domain == *domain);
+        let recipients = peers.filter(|peer| places.is_some() || relays.contains(&peer.ip));
+        let to = recipients.map(|peer| peer.ip).collect();
+        messages.push((status(shared, state, places, is_in_domain), to));
+    }
+}
+
+/// Returns the total load at each endpoint of this failure domain.
+fn totals(shared: &Shared, state: &State, now: Moment) -> Vec<Load> {
+    let own = state.fleet.entries();
+    let own = own.filter(|entry| entry.domain == shared.settings.domain);
+    let totals = own.map(|entry| {
+        let load = state.fleet.reported_load(&entry.id, now);
+        Load::new(Arc::clone(&entry.id), load)
+    });
+    totals.collect()
+}
+
+/// Returns digests of the holdings of the endpoints at which this instance places adapters, as far as they
+/// are known.
+fn digests(state: &State) -> Vec<Digest> {
+    let known = state
+        .placer
+        .endpoints()
+        .filter(|(_, slots)| slots.is_known());
+    let digests = known.filter_map(|(endpoint, _)| {
+        Some(Digest {
+            endpoint: Arc::clone(endpoint),
+            digest: state.directory.digest(endpoint)?,
+        })
+    });
+    digests.collect()
+}
+
+/// Reports which adapters are in use to the placers, which may unload the others.
+fn report_uses(
+    own: IpAddr,
+    state: &mut State,
+    now: Moment,
+    messages: &mut Vec<(Message, Vec<IpAddr>)>,
+) {
+    let mut by_domain: HashMap<Arc<str>, Vec<Used>> = HashMap::new();
+    let State {
+        uses,
+        fleet,
+        placer,
+        ..
+    } = state;
+    uses.retain(|(endpoint, copy), in_use| {
+        let Some(entry) = fleet.entry(endpoint) else {
+            return *in_use > 0;
+        };
+        if let Some(slots) = placer.slots(endpoint) {
+            slots.record_use(copy, own, *in_use, now);
+        }
+        let list = by_domain.entry(Arc::clone(&entry.domain)).or_default();
+        list.push(Used {
+            endpoint: Arc::clone(endpoint),
+            copy: copy.clone(),
+            in_use: *in_use,
+        });
+        *in_use > 0
+    });
+    for (domain, mut list) in by_domain {
+        let Some(ip) = state.placer_of(&domain, now) else {
+            continue;
+        };
+        while !list.is_empty() {
+            let rest = list.split_off(list.len().min(MAX_ITEMS_PER_MESSAGE / 2));
+            let message = Message::Used(std::mem::replace(&mut list, rest));
+            messages.push((message, vec![ip]));
+        }
+    }
+}
--- a/crates/ploverwick_gateway/src/controllers.rs
+++ b/crates/ploverwick_gateway/src/controllers.rs
@@ -1,5 +1,7 @@
-//! Controllers: each keeps one part of the shared state in step with what it follows.
+//! Controllers: background tasks and message handlers that keep the shared state up to date, each for one
+//! part of it.
 
+mod bootstrap;
 pub(crate) mod crashes;
 pub(crate) mod demand;
 pub(crate) mod draining;
@@ -10,62 +12,62 @@
 pub(crate) mod operator;
 pub(crate) mod orders;
 pub(crate) mod pauses;
+pub(crate) mod placer_lease;
 pub(crate) mod quarantine;
 pub(crate) mod quotas;
 pub(crate) mod roster;
-mod starting;
 pub(crate) mod table;
-pub(crate) mod tenure;
 mod topic;
 
 use std::time::Duration;
 
 use crate::shared::Shared;
 
-/// The pause after a call to the store that failed.
-const RETRY: Duration = Duration::from_millis(150);
-/// The longest such pause; calls are priced, also those that fail.
-const LONGEST_RETRY: Duration = Duration::from_millis(600);
-/// The longest such pause of an instance whose peers call for it: what they learn they tell. It is
-/// below the 3 s within which the platform counts on an instance again after an outage.
-const LONGEST_SPARED: Duration = Duration::from_millis(2_400);
+/// The delay before the first retry of a failed call to the store.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// The maximum delay between retries. Each call is charged for, even one that fails.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(600);
+/// The same for an instance whose peers call the store for it and forward what they read. It is below the 3 s
+/// within which the platform counts on an instance again after an outage.
+const MAX_FOLLOWER_RETRY_DELAY: Duration = Duration::from_millis(2_400);
 
-/// How long a topic waits for another one to find that the store is back, before it asks by itself: one of
-/// them may be unreadable alone. An instance that others call for waits twice as long.
-const OTHERS: Duration = Duration::from_millis(2_400);
+/// How long a topic waits for the probe topic to find that the store is available again before it calls the
+/// store itself, because the probe topic alone may be unreadable. An instance for which others call the store
+/// waits twice as long.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(2_400);
 
-/// Waits until a call of another topic works again, or it is time to ask by itself.
-async fn until_back(shared: &Shared) {
-    let longest = if shared.is_caller() {
-        OTHERS
+/// Waits until a call for another topic succeeds or the timeout expires.
+async fn wait_for_store(shared: &Shared) {
+    let timeout = if shared.is_caller() {
+        PROBE_TIMEOUT
     } else {
-        OTHERS * 2
+        PROBE_TIMEOUT * 2
     };
-    let mut away = shared.store_away.subscribe();
-    // The sender lives as long as the process; a wait that ends by its time is what is meant to happen.
-    drop(tokio::time::timeout(longest, away.wait_for(|is_away| !is_away)).await);
+    let mut store_away = shared.store_away.subscribe();
+    // The sender lives as long as the process, and a timeout is an expected outcome.
+    drop(tokio::time::timeout(timeout, store_away.wait_for(|is_away| !is_away)).await);
 }
 
-/// Pauses between calls that fail, longer each time.
+/// Exponential backoff between failing calls to the store.
 #[derive(Debug)]
 struct Backoff(Duration);
 
 impl Backoff {
     fn new() -> Self {
-        Self(RETRY)
+        Self(MIN_RETRY_DELAY)
     }
 
     fn reset(&mut self) {
-        self.0 = RETRY;
+        self.0 = MIN_RETRY_DELAY;
     }
 
     async fn pause(&mut self, shared: &Shared) {
         tokio::time::sleep(self.0).await;
-        let longest = if shared.is_caller() {
-            LONGEST_RETRY
+        let max_delay = if shared.is_caller() {
+            MAX_RETRY_DELAY
         } else {
-            LONGEST_SPARED
+            MAX_FOLLOWER_RETRY_DELAY
         };
-        self.0 = (self.0 * 2).min(longest);
+        self.0 = (self.0 * 2).min(max_delay);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/crashes.rs
+++ b/crates/ploverwick_gateway/src/controllers/crashes.rs
@@ -1,7 +1,8 @@
-//! Proves whether an endpoint crashed under the requests whose connections to it broke.
+//! Determines whether an endpoint crashed when a connection to it broke under a request.
 //!
-//! A broken connection alone proves nothing: connections are reset, links cut, answers lost, and endpoints
-//! that leave close theirs. Where nobody listens any more a moment later, the endpoint's process has ended.
+//! A broken connection alone proves nothing: connections are reset, links fail, answers are lost, and
+//! endpoints that leave close theirs. If nothing listens at the address a moment later, the endpoint's
+//! process has ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,27 +17,31 @@
 use crate::metrics;
 use crate::shared::Shared;
 
-/// The pauses before each look whether somebody listens. A process that ends closes its sockets one after
-/// the other, and one that is slow to end (it writes its memory out) keeps listening meanwhile.
+/// The delays before each probe of the address. A process that ends closes its sockets one after the other,
+/// and one that ends slowly (because it writes a core dump) keeps listening meanwhile.
 const PROBE_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_secs(1),
 ];
-/// How long an answer to a look is awaited; an endpoint in reach answers within milliseconds.
+/// The timeout of a probe; a reachable endpoint answers within milliseconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the list is awaited if the endpoint's machine does not answer: it drops an endpoint after three
-/// heartbeats, of some 1.2 s each, and is read every 850 ms.
+/// How long to watch the list of endpoints if the endpoint's machine does not answer. An endpoint is removed
+/// from it after three missed heartbeats of about 1.2 s each, and the list is read every 850 ms.
 const LIST_TIMEOUT: Duration = Duration::from_secs(6);
-/// How often the list is looked at meanwhile.
+/// How often the list is checked in that time.
 const LIST_POLL: Duration = Duration::from_millis(200);
-/// How long the diagnosis of a life is kept for requests that are found broken later.
+/// How long the diagnosis of an incarnation is kept for requests that are found broken later.
 const RETENTION: Duration = Duration::from_secs(10);
 
-/// Takes in that the connection to an endpoint broke under a request.
-pub(crate) fn broke(shared: &Arc<Shared>, endpoint: &Arc<str>, suspect: Suspect) {
+/// Handles a connection to an endpoint that broke under a request.
+pub(crate) fn handle_broken_connection(
+    shared: &Arc<Shared>,
+    endpoint: &Arc<str>,
+    suspect: Suspect,
+) {
     let mut state = shared.state();
-    // One that leaves closes its connections when its time is up.
+    // A draining endpoint closes its connections when the drain time is over.
     let entry = state.fleet.entry(endpoint);
     let Some(entry) = entry.filter(|entry| entry.state == State::Ready).cloned() else {
         return;
@@ -44,15 +49,15 @@
     let finding = state.broken_connections.record(endpoint, suspect);
     drop(state);
     match finding {
-        Finding::New => drop(tokio::spawn(settle(Arc::clone(shared), entry))),
+        Finding::New => drop(tokio::spawn(resolve(Arc::clone(shared), entry))),
         Finding::Crashed(suspect) => quarantine::record_crash(shared, endpoint, &[suspect]),
         Finding::Pending | Finding::NotCrashed => {}
     }
 }
 
-/// Finds out what became of an endpoint, and counts a crash against the requests that it ran.
-async fn settle(shared: Arc<Shared>, entry: Entry) {
-    let begun = Instant::now();
+/// Diagnoses what happened to an endpoint, and counts a crash against the requests that it ran.
+async fn resolve(shared: Arc<Shared>, entry: Entry) {
+    let started_at = Instant::now();
     let diagnosis = diagnose(&shared, &entry).await;
     let suspects = shared
         .state()
@@ -65,7 +70,7 @@
         entry.service,
         diagnosis.name(),
         suspects.len(),
-        begun.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     if diagnosis.is_crash() {
         quarantine::record_crash(&shared, &entry.id, &suspects);
@@ -75,20 +80,20 @@
 }
 
 async fn diagnose(shared: &Shared, entry: &Entry) -> Diagnosis {
-    let mut listens = false;
+    let mut is_listening = false;
     for pause in PROBE_PAUSES {
         tokio::time::sleep(pause).await;
         match probe(entry.address).await {
             Probe::Refused => return Diagnosis::Refuses,
-            Probe::Taken => listens = true,
+            Probe::Accepted => is_listening = true,
             Probe::Unanswered => {}
         }
     }
-    if listens {
+    if is_listening {
         return Diagnosis::Listens;
     }
-    let until = Instant::now() + LIST_TIMEOUT;
-    while Instant::now() < until {
+    let deadline = Instant::now() + LIST_TIMEOUT;
+    while Instant::now() < deadline {
         let listed = shared.state().fleet.entry(&entry.id).map(|e| e.state);
         match listed {
             None => return Diagnosis::Delisted,
@@ -99,16 +104,16 @@
     Diagnosis::Silent
 }
 
-/// How a look at an address ended.
+/// The result of a probe.
 enum Probe {
     Refused,
-    Taken,
+    Accepted,
     Unanswered,
 }
 
 async fn probe(address: SocketAddr) -> Probe {
     match tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
-        Ok(Ok(_)) => Probe::Taken,
+        Ok(Ok(_)) => Probe::Accepted,
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => Probe::Refused,
         Ok(Err(_)) | Err(_) => Probe::Unanswered,
     }
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/demand.rs
@@ -1,32 +1,32 @@
-//! Takes in demands for adapters and has them loaded where this instance places them.
+//! Handles requests for adapters, and places the adapters if this instance is the placer.
 
 use std::sync::Arc;
 
 use ploverwick_adapters::{Copy, Need, Target};
 use ploverwick_endpoints::State as EndpointState;
 
+use crate::broadcast;
 use crate::shared::Shared;
-use crate::tell;
 
-/// Asks for an adapter at the endpoints of a failure domain. Returns whether there was anybody to ask.
-pub(crate) fn ask(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
+/// Requests an adapter at the endpoints of a failure domain. Returns whether the domain has a placer to ask.
+pub(crate) fn request_adapter(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
     let now = shared.now();
     let state = shared.state();
     let is_own = *domain == *shared.settings.domain && state.tenure.is_held(now);
     let placer = state.placer_of(domain, now);
     drop(state);
     if is_own {
-        take(shared, copy, need);
+        handle_request(shared, copy, need);
         return true;
     }
     if let Some(ip) = placer {
-        tell::need(shared, ip, copy, need);
+        broadcast::send_need(shared, ip, copy, need);
     }
     placer.is_some()
 }
 
-/// Takes in a demand, if this instance places adapters.
-pub(crate) fn take(shared: &Arc<Shared>, copy: &Copy, need: Need) {
+/// Places an adapter that is needed, if this instance is the placer.
+pub(crate) fn handle_request(shared: &Arc<Shared>, copy: &Copy, need: Need) {
     let now = shared.now();
     let mut state = shared.state();
     if !state.tenure.is_held(now) {
@@ -42,14 +42,15 @@
             wait: fleet.expected_wait(&entry.id, 0, now).unwrap_or_default(),
         })
         .collect();
-    // An adapter at an endpoint that is left out serves nobody.
+    // An adapter at an ejected endpoint serves no requests.
     if targets
         .iter()
         .any(|target| !fleet.is_ejected(&target.endpoint, now))
     {
         targets.retain(|target| !fleet.is_ejected(&target.endpoint, now));
     }
-    // One that names a limit is in need, and takes a few requests a second whatever it holds.
+    // An endpoint with a limit is overloaded and accepts a few requests per second, whatever adapters it
+    // holds.
     let has_limit = |target: &Target| state.limits.get(&target.endpoint).is_some();
     if !targets.iter().all(has_limit) {
         targets.retain(|target| !has_limit(target));
@@ -59,8 +60,10 @@
     if !targets.iter().all(is_pausing) {
         targets.retain(|target| !is_pausing(target));
     }
-    let past = state.directory.previous_holders(copy).to_vec();
-    let chosen = state.placer.place(copy, &targets, need, &past, now);
+    let previous_holders = state.directory.previous_holders(copy).to_vec();
+    let chosen = state
+        .placer
+        .place(copy, &targets, need, &previous_holders, now);
     drop(state);
     if let Some(endpoint) = chosen {
         spdlog::info!(
@@ -69,14 +72,14 @@
             copy.version,
             endpoint,
             need,
-            past.contains(&endpoint)
+            previous_holders.contains(&endpoint)
         );
         shared.orders.notify_waiters();
     }
 }
 
-/// Has a newly declared version loaded if an older one is held in this failure domain.
-pub(crate) fn renew(shared: &Arc<Shared>, copy: &Copy) {
+/// Loads a newly declared version if an endpoint of this failure domain holds any version of the adapter.
+pub(crate) fn handle_new_version(shared: &Arc<Shared>, copy: &Copy) {
     let now = shared.now();
     let state = shared.state();
     if !state.tenure.is_held(now) {
@@ -87,6 +90,6 @@
     drop(endpoints);
     drop(state);
     if is_held_here {
-        take(shared, copy, Need::Any);
+        handle_request(shared, copy, Need::Any);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/draining.rs
+++ b/crates/ploverwick_gateway/src/controllers/draining.rs
@@ -8,12 +8,12 @@
 
 use ploverwick_endpoints::State as EndpointState;
 
+use crate::broadcast;
 use crate::metrics;
 use crate::shared::Shared;
-use crate::tell;
 
 /// Handles the state that an endpoint reported in an answer; `source` identifies the answer in the log.
-pub(crate) fn answered(
+pub(crate) fn handle_answer(
     shared: &Shared,
     endpoint: &Arc<str>,
     reported: EndpointState,
@@ -31,12 +31,12 @@
     state.departures.record(endpoint, now);
     drop(state);
     if drain(shared, endpoint, source) {
-        tell::draining(shared, vec![Arc::clone(endpoint)]);
+        broadcast::send_draining(shared, vec![Arc::clone(endpoint)]);
     }
 }
 
 /// Handles a message from another instance about endpoints that are leaving.
-pub(crate) fn told(shared: &Shared, endpoints: &[Arc<str>], from: IpAddr) {
+pub(crate) fn handle_message(shared: &Shared, endpoints: &[Arc<str>], from: IpAddr) {
     for endpoint in endpoints {
         drain(shared, endpoint, &format_args!("instance from={from}"));
     }
--- a/crates/ploverwick_gateway/src/controllers/feed.rs
+++ b/crates/ploverwick_gateway/src/controllers/feed.rs
@@ -1,4 +1,4 @@
-//! Reads of a topic of the store: the newest records first, then each one that comes.
+//! Reads a topic of the store: first the newest record of each key, then new records as they arrive.
 
 use std::time::Duration;
 
@@ -9,126 +9,133 @@
 
 use crate::shared::Shared;
 
-/// How long a waiting read may stay behind what others tell. The store's answers reach two instances
-/// some ms apart; one that lags for longer may wait on a connection that fell silent.
-const HINTED: Duration = Duration::from_millis(300);
+/// The maximum time for which a long poll may lag behind the end of the topic that peers report. The store's
+/// answers reach two instances a few milliseconds apart; a longer lag suggests that the connection has gone
+/// silent.
+const MAX_LAG_BEHIND_PEERS: Duration = Duration::from_millis(300);
 
-/// How long after a waiting read went out a look follows. The store may miss to wake a read that arrives
-/// while a record is being written, which takes some ms; the look finds it.
-const ARMED: Duration = Duration::from_millis(100);
+/// The delay between the start of a long poll and the first probe for records that it missed. The store may
+/// fail to wake a long poll that arrives while a record is being written, which takes a few milliseconds.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest pause between looks that fail; each call is priced.
-const LOOK_AGAIN: Duration = Duration::from_secs(2);
+/// The maximum delay between probes that fail, because each call is charged for.
+const MAX_PROBE_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The least number of records that are read before the newest ones: where few keys are left, those that
-/// went may have written more.
-const LEAST_PAST: u64 = 64;
+/// The minimum number of records to read before the newest ones. If few keys are left, removed keys may have
+/// written most of the recent records.
+const MIN_HISTORY_RECORDS: u64 = 64;
 
-/// The most such records: some 120 KB where each is an endpoint's heartbeat. The store cuts an answer at
-/// 1 MiB from its oldest record on, so that more would leave out the newest.
-const MOST_PAST: u64 = 500;
+/// The maximum number of such records, about 120 KB if each is an endpoint's heartbeat. The store truncates
+/// an answer at 1 MiB, starting from the oldest record, so that a longer read would lack the newest ones.
+const MAX_HISTORY_RECORDS: u64 = 500;
 
-/// How a topic is read.
+/// The options for reading a topic.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Feed<'a> {
-    /// The topic.
+    /// The name of the topic.
     pub(super) topic: &'a str,
-    /// What it is, for the log.
-    pub(super) what: &'static str,
-    /// How long a read waits for a record.
+    /// The description of the topic in log lines.
+    pub(super) description: &'static str,
+    /// The timeout of a long poll.
     pub(super) wait: Duration,
-    /// The pause after each read.
-    pub(super) pause: Duration,
-    /// Where the topic ends as others tell, if they do.
-    pub(super) hint: Option<&'a watch::Sender<Position>>,
-    /// How many records before the newest ones are read with them, for each of these.
-    pub(super) past: u64,
+    /// The delay after each read.
+    pub(super) delay: Duration,
+    /// The end of the topic as peers report it, if they do.
+    pub(super) reported_end: Option<&'a watch::Sender<Position>>,
+    /// The number of records to read before the newest ones, for each key of the topic; 0 reads none.
+    pub(super) history_per_key: u64,
 }
 
-/// What a feed brings.
+/// An event while a topic is read.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum News<'a> {
-    /// A read goes out.
-    Asking,
-    /// Records that came before those which [`News::Whole`] brings next, as far as they are kept.
-    Past { records: &'a [Record] },
-    /// The newest record of each key; what is not among them is gone.
-    Whole { records: &'a [Record] },
-    /// The records that came since, the position up to which the topic was read, and whether the last of
-    /// them woke a read that waited, so that it is as new as it seems.
-    Next {
+pub(super) enum Update<'a> {
+    /// A read is starting.
+    ReadStarted,
+    /// Records before those of the following [`Update::Snapshot`], as far as the store retains them.
+    History { records: &'a [Record] },
+    /// The newest record of each key. A key without one has been removed.
+    Snapshot { records: &'a [Record] },
+    /// The records since the last read, the position after them, and whether the last one ended a long poll,
+    /// which proves that it is new.
+    Records {
         records: &'a [Record],
         end: Position,
         was_woken: bool,
     },
-    /// The newest record of each key as a peer has them.
-    ToldWhole { records: &'a [Record] },
-    /// Records that a peer read, and the longest time for which each can have been there when it was told.
-    Told {
+    /// The newest record of each key, as received from a peer.
+    PeerSnapshot { records: &'a [Record] },
+    /// Records that a peer read, with the maximum age of each when the peer sent it.
+    PeerRecords {
         records: &'a [Record],
         ages: &'a [Option<Duration>],
     },
-    /// The topic cannot be read now.
-    Away,
+    /// The read failed or was abandoned.
+    ReadFailed,
 }
 
-/// Reads once and returns the position to go on from.
+/// Reads once and returns the position to continue from.
 pub(super) async fn read(
     shared: &Shared,
     feed: &Feed<'_>,
     next: Option<Position>,
     wait: Duration,
-    take: &mut impl FnMut(News<'_>),
+    handler: &mut impl FnMut(Update<'_>),
 ) -> Result<Position, Error> {
-    take(News::Asking);
+    handler(Update::ReadStarted);
     let Some(from) = next else {
         let Snapshot { records, end } = shared.store.newest(feed.topic).await?;
-        if let Some(past) = past(shared, feed, records.len(), end).await {
-            let records = &past.records;
-            take(News::Past { records });
+        if let Some(history) = read_history(shared, feed, records.len(), end).await {
+            let records = &history.records;
+            handler(Update::History { records });
         }
         let records = &records;
-        take(News::Whole { records });
+        handler(Update::Snapshot { records });
         return Ok(end);
     };
-    let waiting = shared.store.read(feed.topic, from, wait);
+    let long_poll = shared.store.read(feed.topic, from, wait);
     if wait.is_zero() {
-        let batch = waiting.await?;
-        return Ok(pass_on(&batch, false, take));
+        let batch = long_poll.await?;
+        return Ok(deliver(&batch, false, handler));
     }
-    let waiting = until_doubted(shared, feed.hint, from, waiting);
-    let begun = Instant::now();
-    let (batch, was_waiting) = tokio::select! {
-        ended = waiting => match ended {
-            Ended::Read(batch) => (batch?, true),
-            Ended::Doubted => (read_again(shared, feed, from, take).await?, false),
+    let long_poll = wait_unless_stale(shared, feed.reported_end, from, long_poll);
+    let started_at = Instant::now();
+    let (batch, is_from_long_poll) = tokio::select! {
+        ended = long_poll => match ended {
+            WaitResult::Read(batch) => (batch?, true),
+            WaitResult::Stale => (reread(shared, feed, from, handler).await?, false),
         },
-        batch = look(shared, feed.topic, from) => (batch, false),
+        batch = probe(shared, feed.topic, from) => (batch, false),
     };
-    // Only the record that ends a wait is known to be new; others may have been there for as long.
-    let was_woken = was_waiting && begun.elapsed() < wait;
-    Ok(pass_on(&batch, was_woken, take))
+    // Only a record that ends a long poll is known to be new; others may be as old as the previous read.
+    let was_woken = is_from_long_poll && started_at.elapsed() < wait;
+    Ok(deliver(&batch, was_woken, handler))
 }
 
-/// Reads the records before the end of a topic of `keys` keys. They may be gone, and are not needed to go
-/// on.
-async fn past(shared: &Shared, feed: &Feed<'_>, keys: usize, end: Position) -> Option<Batch> {
-    if feed.past == 0 || end.offset == 0 {
+/// Reads the records before the end of a topic with `keys` keys. Returns `None` if they cannot be read; they
+/// are optional.
+async fn read_history(
+    shared: &Shared,
+    feed: &Feed<'_>,
+    keys: usize,
+    end: Position,
+) -> Option<Batch> {
+    if feed.history_per_key == 0 || end.offset == 0 {
         return None;
     }
-    let past = (feed.past * keys as u64).clamp(LEAST_PAST, MOST_PAST);
-    let from = end.with_offset(end.offset.saturating_sub(past));
+    let history =
+        (feed.history_per_key * keys as u64).clamp(MIN_HISTORY_RECORDS, MAX_HISTORY_RECORDS);
+    let from = end.with_offset(end.offset.saturating_sub(history));
     let batch = shared.store.read(feed.topic, from, Duration::ZERO).await;
     batch
         .map_err(|error| spdlog::info!("past_unread topic={} cause=\"{}\"", feed.topic, error))
         .ok()
 }
 
-/// Passes records on and returns the position to go on from.
-fn pass_on(batch: &Batch, was_woken: bool, take: &mut impl FnMut(News<'_>)) -> Position {
+/// Passes records to the handler and returns the position to continue from.
+fn deliver(batch: &Batch, was_woken: bool, handler: &mut impl FnMut(Update<'_>)) -> Position {
     let records = &batch.records;
     let end = batch.next;
-    take(News::Next {
+    handler(Update::Records {
         records,
         end,
         was_woken,
@@ -136,84 +143,85 @@
     end
 }
 
-/// Reads without waiting, after a waiting read was given up.
-async fn read_again(
+/// Reads without waiting, after a long poll was abandoned.
+async fn reread(
     shared: &Shared,
     feed: &Feed<'_>,
     from: Position,
-    take: &mut impl FnMut(News<'_>),
+    handler: &mut impl FnMut(Update<'_>),
 ) -> Result<Batch, Error> {
-    take(News::Away);
-    take(News::Asking);
+    handler(Update::ReadFailed);
+    handler(Update::ReadStarted);
     let batch = shared.store.read(feed.topic, from, Duration::ZERO).await?;
-    if let Some(hint) = feed.hint
+    if let Some(reported_end) = feed.reported_end
         && batch.next == from
     {
-        // Whoever told of more was wrong; what it said must not be asked after for ever.
-        hint.send_modify(|end| *end = from.min(*end));
+        // The reported end was wrong. Lower it, so that it does not cause reads forever.
+        reported_end.send_modify(|end| *end = from.min(*end));
     }
     Ok(batch)
 }
 
-/// Looks whether a topic has records that the read beside it was not woken for; ends only if it has.
-async fn look(shared: &Shared, topic: &str, from: Position) -> Batch {
-    let mut pause = ARMED;
+/// Checks for records that the concurrent long poll was not woken for. Completes only if there are any.
+async fn probe(shared: &Shared, topic: &str, from: Position) -> Batch {
+    let mut delay = FIRST_PROBE_DELAY;
     loop {
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
         match shared.store.read(topic, from, Duration::ZERO).await {
             Ok(batch) if batch.next == from => std::future::pending().await,
             Ok(batch) => {
                 spdlog::info!("record_missed topic={} offset={}", topic, from);
                 return batch;
             }
-            // The new era also ends the waiting read, which then reports the restore.
+            // The new era also ends the long poll, which then reports the restore.
             Err(Error::Restored) => std::future::pending().await,
-            // The read that waits may outlast it, so that the look is still owed.
+            // The long poll may outlast the failure, so the check must be retried.
             Err(error) => spdlog::debug!("look_failed topic={} cause=\"{}\"", topic, error),
         }
-        pause = (pause * 2).min(LOOK_AGAIN);
+        delay = (delay * 2).min(MAX_PROBE_RETRY_DELAY);
     }
 }
 
-/// How a waiting read ended.
-enum Ended<T> {
+/// The result of a long poll.
+enum WaitResult<T> {
     Read(T),
-    /// It may wait on a connection that fell silent.
-    Doubted,
+    /// The connection may have gone silent.
+    Stale,
 }
 
-/// Waits for a read, unless others have read further for a while, or another call was silent.
-async fn until_doubted<T>(
+/// Waits for a read. Gives up if peers have read further for a while, or if another call found its connection
+/// silent.
+async fn wait_unless_stale<T>(
     shared: &Shared,
-    hint: Option<&watch::Sender<Position>>,
+    reported_end: Option<&watch::Sender<Position>>,
     from: Position,
     read: impl Future<Output = T>,
-) -> Ended<T> {
+) -> WaitResult<T> {
     let mut reconnects = shared.store.reconnects();
     tokio::pin!(read);
     tokio::select! {
-        got = &mut read => return Ended::Read(got),
-        // The sender lives as long as the store, so that it cannot be gone.
-        _ = reconnects.changed() => return Ended::Doubted,
-        () = behind(hint, from) => {}
+        got = &mut read => return WaitResult::Read(got),
+        // The sender lives as long as the store, so this cannot fail.
+        _ = reconnects.changed() => return WaitResult::Stale,
+        () = wait_until_behind(reported_end, from) => {}
     }
-    match tokio::time::timeout(HINTED, read).await {
-        Ok(got) => Ended::Read(got),
+    match tokio::time::timeout(MAX_LAG_BEHIND_PEERS, read).await {
+        Ok(got) => WaitResult::Read(got),
         Err(_) => {
-            // What silenced this connection may have silenced the others.
+            // The other connections may be affected too.
             shared.store.reconnect();
-            Ended::Doubted
+            WaitResult::Stale
         }
     }
 }
 
-/// Ends once others have read further.
-async fn behind(hint: Option<&watch::Sender<Position>>, from: Position) {
-    match hint {
-        Some(hint) => {
-            let mut told = hint.subscribe();
-            // The sender is borrowed, so that it cannot be gone.
-            drop(told.wait_for(|end| *end > from).await);
+/// Completes once peers have read beyond `from`.
+async fn wait_until_behind(reported_end: Option<&watch::Sender<Position>>, from: Position) {
+    match reported_end {
+        Some(reported_end) => {
+            let mut end_receiver = reported_end.subscribe();
+            // The sender is borrowed, so this cannot fail.
+            drop(end_receiver.wait_for(|end| *end > from).await);
         }
         None => std::future::pending().await,
     }
--- a/crates/ploverwick_gateway/src/controllers/freshness.rs
+++ b/crates/ploverwick_gateway/src/controllers/freshness.rs
@@ -1,7 +1,8 @@
-//! Keeps a proof that the configuration at hand was the newest a short while ago.
+//! Maintains a proof that the known configuration was the newest a short while ago.
 //!
-//! Only where keys must stop to work within a bound at every instance. The first instances of a failure
-//! domain read the store, which costs a call each; the others ask them, which costs a datagram each way.
+//! This is needed only if revoked keys must stop working at every instance within a bound. The highest-ranked
+//! instances of a failure domain read the store, at the cost of a call each. The others ask them, at the cost
+//! of a datagram in each direction.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -18,26 +19,26 @@
 use crate::state::{PEER_AGE, State};
 use crate::topics::Topic;
 
-/// How often an instance looks whether there is anything to prove.
-const IDLE: Duration = Duration::from_millis(250);
-/// The part of the bound for which an answer of the store is awaited. On bad days it takes 240 ms, and
-/// where answers are lost another read is better than a wait.
-const ANSWER: f64 = 0.16;
-/// The most peers that are asked at once.
-const MOST_ASKED: usize = 6;
+/// How often to check whether a proof is needed.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The timeout of a read, as a share of the bound. A slow answer takes 240 ms, and if answers are lost,
+/// another read is better than a longer wait.
+const READ_TIMEOUT_SHARE: f64 = 0.16;
+/// The maximum number of peers to ask at once.
+const MAX_PEERS_ASKED: usize = 6;
 
-/// Keeps the proof for as long as the process runs.
-pub(crate) async fn keep(shared: Arc<Shared>) {
+/// Maintains the proof for as long as the process runs.
+pub(crate) async fn run(shared: Arc<Shared>) {
     let Some(bound) = shared.settings.revocation else {
         return;
     };
     loop {
         if !is_needed(&shared) {
-            tokio::time::sleep(IDLE).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
         let now = shared.now();
-        let (need, age) = {
+        let (action, age) = {
             let state = shared.state();
             let rank = state.rank(&shared.settings, now);
             (
@@ -46,20 +47,20 @@
             )
         };
         metrics::configuration_age(age);
-        match need {
+        match action {
             Action::Idle { until } => {
-                let until = shared.clock.instant(until.min(now + IDLE));
+                let until = shared.clock.instant(until.min(now + IDLE_CHECK_INTERVAL));
                 tokio::time::sleep_until(until).await;
             }
-            Action::AskDomain => ask(&shared, false, now),
-            Action::AskAllDomains => ask(&shared, true, now),
-            Action::ReadStore => read(&shared, bound, now).await,
+            Action::AskDomain => ask_peers(&shared, false, now),
+            Action::AskAllDomains => ask_peers(&shared, true, now),
+            Action::ReadStore => read_end(&shared, bound, now).await,
         }
     }
 }
 
-/// Returns whether requests need keys, or may: a start that waits for its configuration first would refuse
-/// requests for as long as a proof takes then.
+/// Returns whether requests need keys, or may need them because the configuration is not known yet. Waiting
+/// for the configuration first would refuse requests until a proof is obtained.
 fn is_needed(shared: &Shared) -> bool {
     let state = shared.state();
     let config = state.config.as_ref();
@@ -67,7 +68,7 @@
 }
 
 /// Asks peers that read the store for a proof.
-fn ask(shared: &Shared, of_all_domains: bool, now: Moment) {
+fn ask_peers(shared: &Shared, of_all_domains: bool, now: Moment) {
     let mut state = shared.state();
     state.freshness.record_ask(now);
     let to = readers(shared, &state, of_all_domains, now);
@@ -76,32 +77,36 @@
     shared.mail.send(&Message::AskProof { question }, &to);
 }
 
-/// Lists peers that read the operator's topic, those with more of a processor first; of this failure domain
-/// the first one alone.
+/// Returns peers that read the operator's topic, highest rank first; only one if this failure domain alone is
+/// asked.
 fn readers(shared: &Shared, state: &State, of_all_domains: bool, now: Moment) -> Vec<IpAddr> {
     let peers = state.peers.iter().filter(|(_, peer)| {
         let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
         let reads = peer.stands.of(Topic::Operator).reading == Reading::Reads;
-        let is_near = peer.domain == shared.settings.domain;
-        is_heard && reads && (is_near || of_all_domains)
+        let is_local = peer.domain == shared.settings.domain;
+        is_heard && reads && (is_local || of_all_domains)
     });
     let mut peers: Vec<_> = peers
         .map(|(name, peer)| (peer.place(name), peer.ip))
         .collect();
     peers.sort_by(|(a, _), (b, _)| b.precedes(*a).cmp(&a.precedes(*b)));
-    let most = if of_all_domains { MOST_ASKED } else { 1 };
-    peers.into_iter().take(most).map(|(_, ip)| ip).collect()
+    let max_peers = if of_all_domains { MAX_PEERS_ASKED } else { 1 };
+    peers
+        .into_iter()
+        .take(max_peers)
+        .map(|(_, ip)| ip)
+        .collect()
 }
 
-/// Reads where the operator's topic ends.
-async fn read(shared: &Shared, bound: Duration, now: Moment) {
+/// Reads the end of the operator's topic from the store.
+async fn read_end(shared: &Shared, bound: Duration, now: Moment) {
     let from = {
         let mut state = shared.state();
         state.freshness.record_read(now);
         state.stands.of(Topic::Operator).end
     };
-    let reading = shared.store.read(OPERATOR_TOPIC, from, Duration::ZERO);
-    let end = match tokio::time::timeout(bound.mul_f64(ANSWER), reading).await {
+    let read = shared.store.read(OPERATOR_TOPIC, from, Duration::ZERO);
+    let end = match tokio::time::timeout(bound.mul_f64(READ_TIMEOUT_SHARE), read).await {
         Ok(Ok(batch)) => batch.end,
         Ok(Err(error)) => {
             spdlog::debug!("proof_failed cause=\"{}\"", error);
@@ -116,32 +121,32 @@
     state.freshness.record_answer();
     state.freshness.add_proof(Proof::new(end, now));
     drop(state);
-    // Whoever is behind reads on.
+    // The subscription then reads records that are missing.
     shared.inboxes.of(Topic::Operator).hear_end(end);
 }
 
-/// Answers a peer's question.
-pub(crate) fn answer(shared: &Shared, to: IpAddr, question: Question) {
+/// Answers a peer's request for a proof.
+pub(crate) fn handle_question(shared: &Shared, to: IpAddr, question: Question) {
     let now = shared.now();
-    let Some(proven) = shared.state().freshness.proof() else {
+    let Some(proof) = shared.state().freshness.proof() else {
         return;
     };
-    let age = proven.age(now).as_millis();
+    let age = proof.age(now).as_millis();
     let answer = Message::Proof {
         question,
-        end: proven.end,
+        end: proof.end,
         age_ms: u64::try_from(age).unwrap_or(u64::MAX),
     };
     shared.mail.send(&answer, &[to]);
 }
 
-/// Takes in a peer's answer. The peer worked out the age after it was asked, so that its proof is no older
-/// than the age counted from the question.
-pub(crate) fn hear(shared: &Shared, question: Question, end: Position, age: Duration) {
+/// Handles a peer's proof. The peer computed the age after it was asked, so the proof is no older than that
+/// age counted from the question.
+pub(crate) fn handle_proof(shared: &Shared, question: Question, end: Position, age: Duration) {
     if !shared.asked(question) {
         return;
     }
-    let statement = Proof::with_age(end, question.at, age);
-    shared.state().freshness.add_proof(statement);
+    let proof = Proof::with_age(end, question.at, age);
+    shared.state().freshness.add_proof(proof);
     shared.inboxes.of(Topic::Operator).hear_end(end);
 }
--- a/crates/ploverwick_gateway/src/controllers/instances.rs
+++ b/crates/ploverwick_gateway/src/controllers/instances.rs
@@ -1,4 +1,4 @@
-//! Lists this instance for the others and follows their list.
+//! Registers this instance in the list of instances and follows the list.
 
 use std::collections::HashSet;
 use std::net::IpAddr;
@@ -9,33 +9,33 @@
 use ploverwick_platform::store::Record;
 use serde::{Deserialize, Serialize};
 
-use super::feed::{Feed, News};
+use super::feed::{Feed, Update};
 use super::{Backoff, topic};
 use crate::shared::Shared;
 use crate::state::{Listing, PEER_AGE, Peer};
 use crate::topics::{Stands, Topic};
 
-/// How long a read waits for a record; instances come and go rarely, and peers that are not listed
-/// yet make themselves known by their messages.
-const WAIT: Duration = Duration::from_secs(28);
+/// The timeout of a long poll. Instances come and go rarely, and peers that are not on the list yet become
+/// known through their messages.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(28);
 
-/// The pause after each read: at a start all instances list themselves within a second or two, and
-/// each line would be a call of every instance.
-const PAUSE: Duration = Duration::from_millis(1_500);
+/// The delay after each read. At a start, all instances register within a second or two, and each
+/// registration would otherwise cost every instance a call.
+const READ_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// What the keys begin with under which the last placer of each failure domain stands; no instance's name
-/// has the character.
-const PLACER: &str = "placer/";
+/// The prefix of the keys that hold the last placer of each failure domain. Instance names never contain the
+/// slash.
+const PLACER_KEY_PREFIX: &str = "placer/";
 
-/// How long an instance waits to read the list when the whole system starts for the first time: all list
-/// themselves within some 300 ms, and a list that is read then need not be read again.
-const FIRST_START: Duration = Duration::from_millis(400);
+/// How long an instance waits before it reads the list when the whole system starts for the first time. All
+/// instances register within about 300 ms, so that one read then suffices.
+const FIRST_START_DELAY: Duration = Duration::from_millis(400);
 
 #[derive(Debug, Serialize, Deserialize)]
-struct Line {
+struct Registration {
     ip: IpAddr,
     domain: Arc<str>,
-    /// The part of a processor that it has, in thousandths of a core.
+    /// Its share of the processor, in thousandths of a core.
     #[serde(default)]
     capacity: u32,
     /// The fencing token under which it last placed adapters.
@@ -43,21 +43,21 @@
     token: Option<u64>,
 }
 
-/// Lists this instance, again if the store is away.
-pub(crate) async fn enlist(shared: Arc<Shared>, token: Option<u64>) {
+/// Registers this instance, and retries while the store is unavailable.
+pub(crate) async fn register(shared: Arc<Shared>, token: Option<u64>) {
     let settings = &shared.settings;
-    let line = Line {
+    let registration = Registration {
         ip: settings.ip.into(),
         domain: Arc::clone(&settings.domain),
         capacity: settings.capacity,
         token,
     };
-    let line = serde_json::to_vec(&line).expect("a line is plain data");
+    let registration = serde_json::to_vec(&registration).expect("a registration is serializable");
     let mut backoff = Backoff::new();
-    // A repeat of a write that was done all the same changes nothing.
+    // Repeating a write that succeeded without an answer has no effect.
     while let Err(error) = shared
         .store
-        .put(INSTANCE_TOPIC, &settings.instance, Some(&line))
+        .put(INSTANCE_TOPIC, &settings.instance, Some(&registration))
         .await
     {
         spdlog::warn!("not_listed cause=\"{}\"", error);
@@ -65,9 +65,9 @@
     }
 }
 
-/// Recalls the token that an earlier life of this instance wrote, before anything is written over
-/// it; asks until the store answers, without which no right can be had either.
-pub(crate) async fn recall(shared: &Shared) -> Option<u64> {
+/// Loads the fencing token that an earlier incarnation of this instance stored, before it is overwritten.
+/// Retries until the store answers, because the lease cannot be acquired without the store either.
+pub(crate) async fn load_previous_token(shared: &Shared) -> Option<u64> {
     let mut backoff = Backoff::new();
     let snapshot = loop {
         match shared.store.newest(INSTANCE_TOPIC).await {
@@ -80,19 +80,20 @@
     };
     let mut records = snapshot.records.iter();
     let Some(own) = records.find(|record| record.key == *shared.settings.instance) else {
-        // An earlier life that ended in order took its line away a turn after its last order.
+        // An earlier incarnation that shut down cleanly removed its registration one lease duration after its
+        // last order.
         shared.state().tenure.confirm_no_recent_orders();
         return None;
     };
     let value = own.value.as_ref()?;
-    let token = serde_json::from_slice::<Line>(value).ok()?.token?;
+    let token = serde_json::from_slice::<Registration>(value).ok()?.token?;
     spdlog::info!("recalled token={}", token);
     shared.state().tenure.set_previous_token(token);
     Some(token)
 }
 
-/// Takes this instance off the list, if the store answers.
-pub(crate) async fn retire(shared: &Shared) {
+/// Removes this instance from the list, if the store answers.
+pub(crate) async fn deregister(shared: &Shared) {
     let name = &shared.settings.instance;
     if let Err(error) = shared.store.put(INSTANCE_TOPIC, name, None).await {
         spdlog::warn!("still_listed cause=\"{}\"", error);
@@ -102,45 +103,47 @@
 /// Follows the list for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
     if shared.settings.first_start {
-        tokio::time::sleep(FIRST_START).await;
+        tokio::time::sleep(FIRST_START_DELAY).await;
     }
     let feed = Feed {
         topic: INSTANCE_TOPIC,
-        what: "instance list",
-        wait: WAIT,
-        pause: PAUSE,
-        past: 0,
-        hint: Some(&shared.inboxes.of(Topic::Instances).end),
+        description: "instance list",
+        wait: LONG_POLL_TIMEOUT,
+        delay: READ_INTERVAL,
+        history_per_key: 0,
+        reported_end: Some(&shared.inboxes.of(Topic::Instances).end),
     };
     let mut era = 0;
-    topic::follow(&shared, Topic::Instances, feed, |news| match news {
-        News::Whole { records } | News::ToldWhole { records } => {
+    topic::follow(&shared, Topic::Instances, feed, |update| match update {
+        Update::Snapshot { records } | Update::PeerSnapshot { records } => {
             let previous_era = std::mem::replace(&mut era, shared.store.era());
-            replace(&shared, records, previous_era != era);
+            apply_snapshot(&shared, records, previous_era != era);
         }
-        News::Next { records, .. } | News::Told { records, .. } => take(&shared, records),
-        News::Asking | News::Away | News::Past { .. } => {}
+        Update::Records { records, .. } | Update::PeerRecords { records, .. } => {
+            apply_records(&shared, records);
+        }
+        Update::ReadStarted | Update::ReadFailed | Update::History { .. } => {}
     })
     .await;
 }
 
-/// Replaces the listed peers. After a restore of the store, the list may lack running instances until they list
-/// themselves again, so peers that were heard recently are kept.
-fn replace(shared: &Arc<Shared>, records: &[Record], is_restored: bool) {
+/// Replaces the listed peers. After a restore of the store, the list may lack running instances until they
+/// register again, so peers that were heard recently are kept.
+fn apply_snapshot(shared: &Arc<Shared>, records: &[Record], was_restored: bool) {
     let listed: HashSet<&str> = records.iter().map(|record| &*record.key).collect();
     let now = shared.now();
     let mut state = shared.state();
     state.peers.retain(|name, peer| {
         let is_heard = peer.heard.is_some_and(|at| now.since(at) <= PEER_AGE);
-        listed.contains(&**name) || (is_restored && is_heard)
+        listed.contains(&**name) || (was_restored && is_heard)
     });
     let is_unlisted =
         state.listing == Listing::Listed && !listed.contains(&*shared.settings.instance);
     drop(state);
     if is_unlisted {
-        list_again(shared);
+        reregister(shared);
     }
-    take(shared, records);
+    apply_records(shared, records);
     spdlog::info!("instances_read count={}", listed.len());
     let mut state = shared.state();
     if state.listing == Listing::Unread {
@@ -148,18 +151,18 @@
     }
 }
 
-fn take(shared: &Arc<Shared>, records: &[Record]) {
+fn apply_records(shared: &Arc<Shared>, records: &[Record]) {
     for record in records {
-        if record.key.starts_with(PLACER) {
-            take_placer(shared, record);
+        if record.key.starts_with(PLACER_KEY_PREFIX) {
+            apply_placer(shared, record);
             continue;
         }
         match &record.value {
             Some(_) if record.key == *shared.settings.instance => {
                 shared.state().listing = Listing::Listed;
             }
-            None if record.key == *shared.settings.instance => list_again(shared),
-            Some(value) => take_line(shared, &record.key, value),
+            None if record.key == *shared.settings.instance => reregister(shared),
+            Some(value) => apply_registration(shared, &record.key, value),
             None => {
                 let now = shared.now();
                 let mut state = shared.state();
@@ -172,8 +175,8 @@
     shared.count_instances(&mut shared.state());
 }
 
-/// Takes in who placed the adapters of a failure domain last.
-fn take_placer(shared: &Shared, record: &Record) {
+/// Applies which instance last placed the adapters of a failure domain.
+fn apply_placer(shared: &Shared, record: &Record) {
     if record.key != placer_key(&shared.settings.domain) {
         return;
     }
@@ -183,12 +186,12 @@
 }
 
 fn placer_key(domain: &str) -> String {
-    format!("{PLACER}{domain}")
+    format!("{PLACER_KEY_PREFIX}{domain}")
 }
 
-/// Writes down that this instance places the adapters of its failure domain, for its own next life: the
-/// platform keeps the right for whoever had it, and no other one gets it before that lapses.
-pub(crate) async fn name_placer(shared: Arc<Shared>) {
+/// Records this instance as the placer of its failure domain, for its own next incarnation. The platform
+/// keeps the lease for its last holder, and no other instance can acquire it before it expires.
+pub(crate) async fn record_placer(shared: Arc<Shared>) {
     let settings = &shared.settings;
     let key = placer_key(&settings.domain);
     let name = settings.instance.as_bytes();
@@ -197,41 +200,41 @@
     }
 }
 
-/// Lists this instance again after its line was taken away, as an earlier life's last call may do late, or was
-/// lost in a restore of the store.
-fn list_again(shared: &Arc<Shared>) {
+/// Registers this instance again after its registration was removed, for example by a delayed call of an
+/// earlier incarnation, or was lost in a restore of the store.
+fn reregister(shared: &Arc<Shared>) {
     if shared.is_stopping() {
         return;
     }
     spdlog::info!("line_lost instance={}", shared.settings.instance);
     let token = shared.state().tenure.token(shared.now());
-    tokio::spawn(enlist(Arc::clone(shared), token));
+    tokio::spawn(register(Arc::clone(shared), token));
 }
 
-fn take_line(shared: &Shared, name: &str, value: &[u8]) {
-    let line = match serde_json::from_slice::<Line>(value) {
-        Ok(line) => line,
+fn apply_registration(shared: &Shared, name: &str, value: &[u8]) {
+    let registration = match serde_json::from_slice::<Registration>(value) {
+        Ok(registration) => registration,
         Err(error) => {
             spdlog::warn!("instance_malformed key={} cause=\"{}\"", name, error);
             return;
         }
     };
     let mut state = shared.state();
-    // A list that is read as a whole is told by its length: one line each takes a start's processor.
+    // A snapshot is logged as a count only, because one line per entry would slow down the start.
     if state.listing != Listing::Unread && !state.peers.contains_key(name) {
-        spdlog::info!("instance_listed instance={} ip={}", name, line.ip);
+        spdlog::info!("instance_listed instance={} ip={}", name, registration.ip);
     }
     let peer = state.peers.entry(Arc::from(name));
     let peer = peer.or_insert_with(|| Peer {
-        ip: line.ip,
-        domain: Arc::clone(&line.domain),
-        capacity: line.capacity,
+        ip: registration.ip,
+        domain: Arc::clone(&registration.domain),
+        capacity: registration.capacity,
         heard: None,
         places: None,
         waiting: 0,
         stands: Stands::default(),
     });
-    peer.ip = line.ip;
-    peer.domain = line.domain;
-    peer.capacity = line.capacity;
+    peer.ip = registration.ip;
+    peer.domain = registration.domain;
+    peer.capacity = registration.capacity;
 }
--- a/crates/ploverwick_gateway/src/controllers/limits.rs
+++ b/crates/ploverwick_gateway/src/controllers/limits.rs
@@ -1,7 +1,7 @@
-//! Keeps the limits that endpoints in need name in their answers.
+//! Tracks the rate limits that overloaded endpoints set in their answers.
 //!
-//! An answer reaches one instance and binds all, so that what it says anew is told to all at once. What is
-//! told again every other second makes up for lost messages and for instances that have just started.
+//! An answer reaches one instance but applies to all, so that changes are broadcast at once. A repeated
+//! broadcast every other second makes up for lost messages and informs instances that have just started.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -10,18 +10,23 @@
 use ploverwick_names::Moment;
 use ploverwick_platform::answer::{self, Head, Statement};
 
+use crate::broadcast;
 use crate::metrics;
 use crate::shared::Shared;
 use crate::state::{Listing, State};
-use crate::tell;
 
-/// Takes in what the head of the answer to the request `id`, which was sent at a moment, says of its
-/// endpoint's limit.
-pub(crate) fn answered(shared: &Shared, endpoint: &Arc<str>, id: &str, head: &Head, sent: Moment) {
-    let is_its_own = head.is_signed || head.statement != Statement::Nothing;
+/// Handles the limit in the head of an endpoint's answer to the request `id`, which was sent at `sent_at`.
+pub(crate) fn handle_answer(
+    shared: &Shared,
+    endpoint: &Arc<str>,
+    id: &str,
+    head: &Head,
+    sent_at: Moment,
+) {
+    let is_authentic = head.is_signed || head.statement != Statement::Nothing;
     let limit = match head.limit {
-        // An answer that is not proven to be the endpoint's lifts nothing.
-        answer::Limit::Absent if !is_its_own => return,
+        // An answer that may not come from the endpoint itself does not lift a limit.
+        answer::Limit::Absent if !is_authentic => return,
         answer::Limit::Absent => None,
         answer::Limit::Rate(rate) => Some(Limit::per_second(rate)),
         answer::Limit::Malformed => {
@@ -33,33 +38,33 @@
     };
     let now = shared.now();
     let mut state = shared.state();
-    let change = state.limits.record_answer(endpoint, limit, sent, now);
+    let change = state.limits.record_answer(endpoint, limit, sent_at, now);
     if change == Change::Unchanged {
         return;
     }
-    let told = state.limits.update(endpoint, now);
-    take_effect(shared, &mut state, endpoint, now);
+    let update = state.limits.update(endpoint, now);
+    assign_share(shared, &mut state, endpoint, now);
     drop(state);
-    log(endpoint, change, &format_args!("answer id={id}"));
-    if let Some(told) = told {
-        tell::limit(shared, told);
+    log_change(endpoint, change, &format_args!("answer id={id}"));
+    if let Some(update) = update {
+        broadcast::send_limit(shared, update);
     }
 }
 
-/// Takes in what another instance tells.
-pub(crate) fn told(shared: &Shared, list: &[LimitUpdate], from: IpAddr) {
+/// Handles limits from another instance.
+pub(crate) fn handle_updates(shared: &Shared, updates: &[LimitUpdate], from: IpAddr) {
     let now = shared.now();
     let mut state = shared.state();
     let mut changes = Vec::new();
-    for told in list {
-        // News of an endpoint that is not listed, or not any more, would be kept for ever.
-        if state.fleet.entry(&told.endpoint).is_none() {
+    for update in updates {
+        // A limit of an endpoint that is not on the list would never be removed.
+        if state.fleet.entry(&update.endpoint).is_none() {
             continue;
         }
-        let change = state.limits.apply_update(told, now);
+        let change = state.limits.apply_update(update, now);
         if change != Change::Unchanged {
-            take_effect(shared, &mut state, &told.endpoint, now);
-            changes.push((&told.endpoint, change));
+            assign_share(shared, &mut state, &update.endpoint, now);
+            changes.push((&update.endpoint, change));
         }
     }
     if changes.is_empty() {
@@ -67,39 +72,39 @@
     }
     drop(state);
     for (endpoint, change) in changes {
-        log(endpoint, change, &format_args!("instance from={from}"));
+        log_change(endpoint, change, &format_args!("instance from={from}"));
     }
-    // Who waits for a copy elsewhere may be served where a limit was lifted.
+    // A request that waits for the adapter elsewhere may be served where a limit was lifted.
     shared.placed.notify_waiters();
 }
 
-/// Gives this instance its part of the limit of one endpoint.
-fn take_effect(shared: &Shared, state: &mut State, endpoint: &str, now: Moment) {
+/// Assigns this instance its share of the limit of one endpoint.
+fn assign_share(shared: &Shared, state: &mut State, endpoint: &str, now: Moment) {
     if let Some(limit) = state.limits.get(endpoint) {
-        let part = part(shared, state, endpoint, limit, now);
-        state.limits.assign(endpoint, part, now);
+        let share = own_share(shared, state, endpoint, limit, now);
+        state.limits.assign(endpoint, share, now);
     }
     metrics::endpoint_limits(state.limits.active_count());
 }
 
-/// Gives this instance its part of each limit, by the instances that it hears now.
-pub(crate) fn assign(shared: &Shared, state: &mut State, now: Moment) {
+/// Assigns this instance its share of each limit, based on the instances that it currently hears.
+pub(crate) fn assign_shares(shared: &Shared, state: &mut State, now: Moment) {
     let fleet = &state.fleet;
     let is_listed = |endpoint: &str| fleet.entry(endpoint).is_some();
     state.limits.sweep(is_listed, now);
     let limited = state.limits.limited();
-    let parts = limited.map(|(endpoint, limit)| {
-        let part = part(shared, state, endpoint, limit, now);
-        (Arc::clone(endpoint), part)
+    let assignments = limited.map(|(endpoint, limit)| {
+        let share = own_share(shared, state, endpoint, limit, now);
+        (Arc::clone(endpoint), share)
     });
-    let parts: Vec<(Arc<str>, Share)> = parts.collect();
-    for (endpoint, part) in parts {
-        state.limits.assign(&endpoint, part, now);
+    let assignments: Vec<(Arc<str>, Share)> = assignments.collect();
+    for (endpoint, share) in assignments {
+        state.limits.assign(&endpoint, share, now);
     }
 }
 
-fn part(shared: &Shared, state: &State, endpoint: &str, limit: Limit, now: Moment) -> Share {
-    // Who does not know the others must not take itself for the only one.
+fn own_share(shared: &Shared, state: &State, endpoint: &str, limit: Limit, now: Moment) -> Share {
+    // Without the list of instances, this instance must not assume that it is the only one.
     if state.listing == Listing::Unread {
         return Share::NONE;
     }
@@ -110,7 +115,7 @@
     Share::of(limit, endpoint, &shared.settings.instance, &senders)
 }
 
-fn log(endpoint: &str, change: Change, by: &dyn std::fmt::Display) {
+fn log_change(endpoint: &str, change: Change, by: &dyn std::fmt::Display) {
     let limit = match change {
         Change::Unchanged => return,
         Change::Set(limit) => limit.to_string(),
--- a/crates/ploverwick_gateway/src/controllers/operator.rs
+++ b/crates/ploverwick_gateway/src/controllers/operator.rs
@@ -1,4 +1,4 @@
-//! Follows what the operator writes: the configuration and declared adapter versions.
+//! Follows the operator's topic: the configuration and declared adapter versions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,51 +8,56 @@
 use ploverwick_platform::{CONFIG_KEY, OPERATOR_TOPIC, config, version};
 use ploverwick_routes::{Config, Organisations};
 
-use super::feed::{Feed, News};
+use super::feed::{Feed, Update};
 use super::topic;
 use crate::metrics;
 use crate::shared::Shared;
 use crate::topics::Topic;
 
-/// How long a read waits for a record, near the longest that the store allows: each return is a
-/// call. A silent connection breaks by itself, and peers that have read further tell.
-const WAIT: Duration = Duration::from_secs(28);
+/// The timeout of a long poll, close to the maximum that the store allows, because each return costs a call.
+/// A connection that goes silent is detected separately, and peers that have read further report the end of
+/// the topic.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(28);
 
 /// Follows the operator's topic for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let feed = Feed {
         topic: OPERATOR_TOPIC,
-        what: "operator topic",
-        wait: WAIT,
-        pause: Duration::ZERO,
-        past: 0,
-        hint: Some(&shared.inboxes.of(Topic::Operator).end),
+        description: "operator topic",
+        wait: LONG_POLL_TIMEOUT,
+        delay: Duration::ZERO,
+        history_per_key: 0,
+        reported_end: Some(&shared.inboxes.of(Topic::Operator).end),
     };
-    topic::follow(&shared, Topic::Operator, feed, |news| take(&shared, news)).await;
+    topic::follow(&shared, Topic::Operator, feed, |update| {
+        handle_update(&shared, update);
+    })
+    .await;
 }
 
-fn take(shared: &Arc<Shared>, news: News<'_>) {
+fn handle_update(shared: &Arc<Shared>, update: Update<'_>) {
     let now = shared.now();
     let mut state = shared.state();
-    // A read may bring what another one missed, so that only its last record is as new as the read.
+    // A read may return records that an earlier one missed, so that only its last record is as recent as the
+    // read.
     let earlier = state.horizon.unread();
-    let (records, last) = match news {
-        News::Past { .. } => return,
-        News::ToldWhole { records } => {
+    let (records, last) = match update {
+        Update::History { .. } => return,
+        Update::PeerSnapshot { records } => {
             drop(state);
             for record in records {
-                take_record(shared, record, Since::LongAgo);
+                apply_record(shared, record, Since::LongAgo);
             }
             return;
         }
-        News::Told { records, ages } => {
+        Update::PeerRecords { records, ages } => {
             drop(state);
-            return take_told(shared, records, ages);
+            return apply_peer_records(shared, records, ages);
         }
-        News::Asking => return state.horizon.begin_read(now),
-        News::Away => return state.horizon.fail_read(),
-        News::Whole { records } => (records, state.horizon.finish_full_read()),
-        News::Next {
+        Update::ReadStarted => return state.horizon.begin_read(now),
+        Update::ReadFailed => return state.horizon.fail_read(),
+        Update::Snapshot { records } => (records, state.horizon.finish_full_read()),
+        Update::Records {
             records, was_woken, ..
         } => {
             if !was_woken && !records.is_empty() {
@@ -65,30 +70,30 @@
     for (index, record) in records.iter().enumerate() {
         let is_last = index + 1 == records.len();
         let since = if is_last { last } else { earlier };
-        take_record(shared, record, since);
+        apply_record(shared, record, since);
     }
 }
 
-/// Takes in what a peer read, each record as old as it can be.
-fn take_told(shared: &Arc<Shared>, records: &[Record], ages: &[Option<Duration>]) {
+/// Applies records that a peer read, each with its maximum age.
+fn apply_peer_records(shared: &Arc<Shared>, records: &[Record], ages: &[Option<Duration>]) {
     for (record, age) in records.iter().zip(ages) {
         let since = shared.state().horizon.apply_relayed(*age);
-        take_record(shared, record, since);
+        apply_record(shared, record, since);
     }
 }
 
-fn take_record(shared: &Arc<Shared>, record: &Record, since: Since) {
+fn apply_record(shared: &Arc<Shared>, record: &Record, since: Since) {
     let Some(value) = &record.value else {
         return;
     };
     if record.key == CONFIG_KEY {
-        take_config(shared, value);
+        apply_config(shared, value);
     } else {
-        take_version(shared, record, value, since);
+        apply_version(shared, record, value, since);
     }
 }
 
-fn take_config(shared: &Shared, value: &[u8]) {
+fn apply_config(shared: &Shared, value: &[u8]) {
     let config = match config::decode(value) {
         Ok(config) => Arc::new(config),
         Err(error) => {
@@ -98,7 +103,7 @@
     };
     let mut state = shared.state();
     let known = state.config.as_ref().map(|config| config.version);
-    // A configuration never goes back while the process runs.
+    // The configuration version never decreases while the process runs.
     if known.is_some_and(|known| known >= config.version) {
         return;
     }
@@ -107,19 +112,19 @@
         config.version,
         known
     );
-    let faults = config
+    let errors = config
         .organisations()
         .map_or(&[][..], Organisations::errors);
-    for fault in faults {
-        spdlog::error!("organisation_malformed cause=\"{}\"", fault);
+    for error in errors {
+        spdlog::error!("organisation_malformed cause=\"{}\"", error);
     }
     state.config = Some(Arc::clone(&config));
     drop(state);
-    show_quotas(&config);
+    export_quotas(&config);
     shared.orders.notify_waiters();
 }
 
-fn show_quotas(config: &Config) {
+fn export_quotas(config: &Config) {
     let organisations = config.organisations().into_iter();
     for organisation in organisations.flat_map(Organisations::iter) {
         if let Some(quota) = &organisation.quota {
@@ -128,7 +133,7 @@
     }
 }
 
-fn take_version(shared: &Arc<Shared>, record: &Record, value: &[u8], since: Since) {
+fn apply_version(shared: &Arc<Shared>, record: &Record, value: &[u8], since: Since) {
     let copy = match version::decode(&record.key, value) {
         Ok(Some(copy)) => copy,
         Ok(None) => return,
@@ -144,7 +149,7 @@
     }
     let held_older = state.directory.newest_held_below(&copy.key, copy.version);
     drop(state);
-    // Requests that were sent for an older version are held to the bound from now on.
+    // Requests that were sent for an older version are subject to the staleness bound from now on.
     shared.declared.notify_waiters();
     spdlog::info!(
         "version_declared adapter={} version={} older_held={:?} offset={} at={} since={:?}",
@@ -155,8 +160,8 @@
         now.0,
         since
     );
-    // What is in use is loaded before the next request asks for it.
+    // Load an adapter that is in use before the next request asks for it.
     if held_older.is_some() {
-        super::demand::renew(shared, &copy);
+        super::demand::handle_new_version(shared, &copy);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/orders.rs
+++ b/crates/ploverwick_gateway/src/controllers/orders.rs
@@ -1,6 +1,6 @@
-//! Gives orders to the endpoints of this failure domain while the right to do so lasts.
+//! Sends orders to the endpoints of this failure domain while this instance holds the placer lease.
 //!
-//! One task for each endpoint: it gives one order at a time and waits for the answer.
+//! One task per endpoint sends one order at a time and waits for the answer.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -16,49 +16,50 @@
 use ploverwick_platform::{answer, order, roster};
 
 use super::draining;
+use crate::broadcast;
 use crate::metrics;
 use crate::pool::{Connection, connect};
 use crate::shared::Shared;
 use crate::state::State;
-use crate::tell;
 
-/// The time for an answer to an order; endpoints of the same domain take about 3 ms. An order that
-/// got no answer is repeated, which is safe, so that the time may be short.
-const ANSWER: Duration = Duration::from_millis(25);
-/// Orders in a row without an answer after which the time doubles: the endpoint is slow.
-const DOUBLING: u32 = 4;
-/// How often the time doubles at most.
-const MOST_DOUBLINGS: u32 = 4;
-/// The time for a report.
-const REPORT: Duration = Duration::from_millis(450);
-/// The pause of a task that may give no order.
-const PAUSE: Duration = Duration::from_millis(120);
+/// The initial timeout of an order; endpoints of the same failure domain answer within about 3 ms. An
+/// unanswered order can safely be repeated, so the timeout may be short.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(25);
+/// The number of consecutive unanswered orders after which the timeout doubles, because the endpoint is slow.
+const UNANSWERED_PER_DOUBLING: u32 = 4;
+/// The maximum number of times that the timeout doubles.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
+/// The timeout of a request for a report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(450);
+/// The interval at which missing tasks are started, and the delay after an order that found no endpoint at
+/// the address. An idle task rechecks after eight times this interval.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Keeps a task for each endpoint of this failure domain that takes orders.
-pub(crate) async fn keep(shared: Arc<Shared>) {
-    let tended: Arc<Mutex<HashSet<Arc<str>>>> = Arc::default();
+/// Runs a task for each endpoint of this failure domain that accepts orders.
+pub(crate) async fn run(shared: Arc<Shared>) {
+    let running: Arc<Mutex<HashSet<Arc<str>>>> = Arc::default();
     loop {
-        let woken = shared.orders.notified();
-        for endpoint in untended(&shared, &tended) {
+        let notified = shared.orders.notified();
+        for endpoint in endpoints_without_task(&shared, &running) {
             let shared = Arc::clone(&shared);
-            let tended = Arc::clone(&tended);
+            let running = Arc::clone(&running);
             tokio::spawn(async move {
-                tend(&shared, &endpoint).await;
-                tended
+                run_endpoint(&shared, &endpoint).await;
+                running
                     .lock()
                     .expect("no holder of the lock panics")
                     .remove(&endpoint);
             });
         }
         tokio::select! {
-            () = woken => {}
-            () = tokio::time::sleep(PAUSE) => {}
+            () = notified => {}
+            () = tokio::time::sleep(RECHECK_INTERVAL) => {}
         }
     }
 }
 
-/// Adds the shelves that are missing and returns the endpoints that no task tends yet.
-fn untended(shared: &Shared, tended: &Mutex<HashSet<Arc<str>>>) -> Vec<Arc<str>> {
+/// Adds missing slots to the placer and returns the endpoints that have no task yet.
+fn endpoints_without_task(shared: &Shared, running: &Mutex<HashSet<Arc<str>>>) -> Vec<Arc<str>> {
     let now = shared.now();
     let mut state = shared.state();
     if state.tenure.token(now).is_none() {
@@ -79,49 +80,50 @@
             continue;
         }
         state.placer.add(&entry.id, engine.adapter_slots, now);
-        // An endpoint without a base model gets the first; which one it should be is decided by
-        // the order of the configuration until several are in demand.
+        // An endpoint without a base model gets the first one in the order of the configuration, until
+        // several are in demand.
         if let Some(slots) = state.placer.slots(&entry.id)
             && slots.is_empty()
             && let Some(model) = engine.models.first()
         {
             slots.request_base(Arc::clone(model));
         }
-        let mut tended = tended.lock().expect("no holder of the lock panics");
-        if tended.insert(Arc::clone(&entry.id)) {
+        let mut running = running.lock().expect("no holder of the lock panics");
+        if running.insert(Arc::clone(&entry.id)) {
             new.push(Arc::clone(&entry.id));
         }
     }
     new
 }
 
-/// Gives orders to one endpoint until it is gone or the right ends.
-async fn tend(shared: &Arc<Shared>, endpoint: &Arc<str>) {
+/// Sends orders to one endpoint until the endpoint is removed or the lease ends.
+async fn run_endpoint(shared: &Arc<Shared>, endpoint: &Arc<str>) {
     let mut unanswered = 0;
     loop {
-        let woken = shared.orders.notified();
-        let Some((step, entry, token)) = decide(shared, endpoint) else {
+        let notified = shared.orders.notified();
+        let Some((step, entry, token)) = next_step(shared, endpoint) else {
             return;
         };
         match step {
-            // The token is the one under which the order was decided, whatever comes meanwhile.
+            // This is the token under which the order was decided, even if the lease has changed since.
             Step::Send(order) => {
-                let limit = ANSWER * 2_u32.pow((unanswered / DOUBLING).min(MOST_DOUBLINGS));
-                match give(shared, &entry, &order, token, limit).await {
+                let timeout = ORDER_TIMEOUT
+                    * 2_u32.pow((unanswered / UNANSWERED_PER_DOUBLING).min(MAX_TIMEOUT_DOUBLINGS));
+                match send_order(shared, &entry, &order, token, timeout).await {
                     Some(Answer::Unknown) => unanswered += 1,
                     Some(_) => unanswered = 0,
                     None => {}
                 }
             }
-            Step::Report => learn(shared, &entry).await,
-            Step::Wait(at) => wait(shared, at, woken).await,
-            Step::Idle => wait(shared, shared.now() + PAUSE * 8, woken).await,
+            Step::Report => fetch_report(shared, &entry).await,
+            Step::Wait(at) => wait(shared, at, notified).await,
+            Step::Idle => wait(shared, shared.now() + RECHECK_INTERVAL * 8, notified).await,
         }
     }
 }
 
-/// Decides the next step; `None` if the endpoint is gone or the right ended.
-fn decide(shared: &Shared, endpoint: &Arc<str>) -> Option<(Step, Entry, u64)> {
+/// Returns the next step; `None` if the endpoint was removed or the lease ended.
+fn next_step(shared: &Shared, endpoint: &Arc<str>) -> Option<(Step, Entry, u64)> {
     let now = shared.now();
     let mut state = shared.state();
     let token = state.tenure.token(now)?;
@@ -130,24 +132,24 @@
         return Some((Step::Wait(now + wait), entry, token));
     }
     let may_load = state.placer.may_load();
-    let ceiling = ceiling(shared, &state, &entry);
+    let load_limit = load_limit(shared, &state, &entry);
     let slots = state.placer.slots(endpoint)?;
     let step = slots.next_step(now, may_load);
     if let Step::Send(order) = &step
         && slots.starts_base_load(order)
     {
-        if let Some(at) = state.base_loads.next_at(&ceiling, now) {
+        if let Some(at) = state.base_loads.next_at(&load_limit, now) {
             return Some((Step::Wait(at), entry, token));
         }
         state.base_loads.record_load(now);
         drop(state);
-        tell::base_load(shared);
+        broadcast::send_base_load(shared);
     }
     Some((step, entry, token))
 }
 
-/// Returns the bound on loads of base models at an endpoint's service.
-fn ceiling(shared: &Shared, state: &State, entry: &Entry) -> LoadLimit {
+/// Returns the limit on base model loads for the service of an endpoint.
+fn load_limit(shared: &Shared, state: &State, entry: &Entry) -> LoadLimit {
     let config = state.config.as_ref();
     let service = config.and_then(|config| config.service(&entry.service));
     let engine = service.and_then(|service| service.engine.as_ref());
@@ -159,31 +161,31 @@
     }
 }
 
-async fn wait(shared: &Shared, until: Moment, woken: tokio::sync::futures::Notified<'_>) {
+async fn wait(shared: &Shared, until: Moment, notified: tokio::sync::futures::Notified<'_>) {
     tokio::select! {
         () = tokio::time::sleep_until(shared.clock.instant(until)) => {}
-        () = woken => {}
+        () = notified => {}
     }
 }
 
-/// Sends an order and takes in its answer; `None` if the right ended before it was sent.
-async fn give(
+/// Sends an order and handles its answer; returns `None` if the lease ended before the order was sent.
+async fn send_order(
     shared: &Arc<Shared>,
     entry: &Entry,
     order: &Order,
     token: u64,
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<Answer> {
     let request = order::encode(order, &entry.id, &shared.settings.instance, token);
     let connection = match shared.pool.take(&entry.id, false) {
         Some(connection) => Ok(connection),
         None => connect(entry.address).await,
     };
-    // Connecting takes time in which the right may have ended.
+    // The lease may have ended while connecting.
     let is_held = shared.state().tenure.token(shared.now()) == Some(token);
     let answer = match connection {
         Ok(_) if !is_held => return None,
-        Ok(connection) => match exchange(shared, entry, connection, request, limit).await {
+        Ok(connection) => match exchange(shared, entry, connection, request, timeout).await {
             Some(response) => order::decode_answer(response.status()),
             None => Answer::Unknown,
         },
@@ -192,8 +194,8 @@
             Answer::Gone
         }
     };
-    metrics::order(name(answer));
-    let event = answered(shared, &entry.id, order, token, answer);
+    metrics::order(answer_label(answer));
+    let event = record_answer(shared, &entry.id, order, token, answer);
     if !matches!(answer, Answer::Accepted | Answer::Done) {
         spdlog::info!(
             "order_failed endpoint={} order={:?} token={} answer={:?} assumed={}",
@@ -205,15 +207,15 @@
         );
     }
     if let Some(event) = event {
-        apply(shared, &entry.id, &event);
+        apply_event(shared, &entry.id, &event);
     }
     if answer == Answer::Gone {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RECHECK_INTERVAL).await;
     }
     Some(answer)
 }
 
-fn name(answer: Answer) -> &'static str {
+fn answer_label(answer: Answer) -> &'static str {
     match answer {
         Answer::Accepted => "accepted",
         Answer::Done => "done",
@@ -225,7 +227,7 @@
     }
 }
 
-fn answered(
+fn record_answer(
     shared: &Shared,
     endpoint: &Arc<str>,
     order: &Order,
@@ -241,7 +243,7 @@
     state.placer.handle_answer(endpoint, order, answer, now)
 }
 
-async fn learn(shared: &Arc<Shared>, entry: &Entry) {
+async fn fetch_report(shared: &Arc<Shared>, entry: &Entry) {
     let connection = match shared.pool.take(&entry.id, false) {
         Some(connection) => Some(connection),
         None => connect(entry.address).await.ok(),
@@ -249,36 +251,36 @@
     let report = match connection {
         Some(connection) => {
             let request = order::report_request(&entry.id);
-            let response = exchange(shared, entry, connection, request, REPORT).await;
-            response.and_then(|response| stated(entry, response.body()))
+            let response = exchange(shared, entry, connection, request, REPORT_TIMEOUT).await;
+            response.and_then(|response| parse_report(entry, response.body()))
         }
         None => None,
     };
-    if let Some(event) = reported(shared, &entry.id, report) {
-        apply(shared, &entry.id, &event);
+    if let Some(event) = handle_report(shared, &entry.id, report) {
+        apply_event(shared, &entry.id, &event);
     }
 }
 
-/// Reads the report of this life of an endpoint; `None` if another one answered, of which the list will
-/// tell.
-fn stated(entry: &Entry, body: &[u8]) -> Option<Report> {
-    let stated = roster::decode_report(body)
+/// Parses the report of an endpoint; returns `None` if another incarnation of it answered, which the list of
+/// endpoints will show.
+fn parse_report(entry: &Entry, body: &[u8]) -> Option<Report> {
+    let received = roster::decode_report(body)
         .map_err(|error| {
             spdlog::warn!("report_malformed endpoint={} cause=\"{}\"", entry.id, error);
         })
         .ok()?;
-    if stated.born.is_some_and(|born| born != entry.born) {
+    if received.born.is_some_and(|born| born != entry.born) {
         spdlog::info!(
             "report_foreign endpoint={} born={:?}",
             entry.id,
-            stated.born
+            received.born
         );
         return None;
     }
-    Some(stated.report)
+    Some(received.report)
 }
 
-fn reported(shared: &Shared, endpoint: &Arc<str>, report: Option<Report>) -> Option<Event> {
+fn handle_report(shared: &Shared, endpoint: &Arc<str>, report: Option<Report>) -> Option<Event> {
     let now = shared.now();
     let mut state = shared.state();
     let slots = state.placer.slots(endpoint)?;
@@ -296,7 +298,7 @@
     Some(slots.handle_report(&report, now))
 }
 
-fn apply(shared: &Arc<Shared>, endpoint: &Arc<str>, event: &Event) {
+fn apply_event(shared: &Arc<Shared>, endpoint: &Arc<str>, event: &Event) {
     let now = shared.now();
     let mut state = shared.state();
     match event {
@@ -310,16 +312,16 @@
     }
     let (coming, window) = state.placer.loads_in_flight();
     drop(state);
-    let line = match event {
+    let log_event = match event {
         Event::Loading(copy) => Some(("adapter_ordered", copy)),
         Event::Loaded(copy) => Some(("adapter_loaded", copy)),
         Event::Unloaded(copy) => Some(("adapter_unloaded", copy)),
         Event::Reported(_) | Event::BaseLoaded(_) => None,
     };
-    if let Some((what, copy)) = line {
+    if let Some((event_name, copy)) = log_event {
         spdlog::info!(
             "{} adapter={} version={} endpoint={} coming={} window={}",
-            what,
+            event_name,
             copy.key,
             copy.version,
             endpoint,
@@ -328,16 +330,16 @@
         );
     }
     shared.placed.notify_waiters();
-    tell::changed(shared, endpoint, event);
+    broadcast::send_event(shared, endpoint, event);
 }
 
-/// Sends a request and reads the whole answer; `None` if there was none in time.
+/// Sends a request and reads the whole answer; returns `None` on an error or a timeout.
 async fn exchange(
     shared: &Shared,
     entry: &Entry,
     mut connection: Connection,
     request: Request<Full<Bytes>>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<Response<Bytes>> {
     let exchange = async {
         let response = connection.sender.send_request(request).await?;
@@ -345,12 +347,12 @@
         let body = Incoming::collect(body).await?.to_bytes();
         Ok::<_, hyper::Error>(Response::from_parts(head, body))
     };
-    let response = tokio::time::timeout(limit, exchange).await;
+    let response = tokio::time::timeout(timeout, exchange).await;
     match response {
         Ok(Ok(response)) => {
             shared.pool.keep(&entry.id, connection);
             let reported = answer::state(response.headers());
-            draining::answered(shared, &entry.id, reported, &"call");
+            draining::handle_answer(shared, &entry.id, reported, &"call");
             Some(response)
         }
         Ok(Err(error)) => {
--- a/crates/ploverwick_gateway/src/controllers/pauses.rs
+++ b/crates/ploverwick_gateway/src/controllers/pauses.rs
@@ -9,7 +9,12 @@
 use crate::shared::Shared;
 
 /// Handles the `Retry-After` header of an endpoint's answer to the request `id`.
-pub(crate) fn answered(shared: &Shared, endpoint: &Arc<str>, id: &str, retry_after: RetryAfter) {
+pub(crate) fn handle_answer(
+    shared: &Shared,
+    endpoint: &Arc<str>,
+    id: &str,
+    retry_after: RetryAfter,
+) {
     let pause = match retry_after {
         RetryAfter::Absent | RetryAfter::Delay(Duration::ZERO) => return,
         RetryAfter::Delay(pause) => pause,
--- a/crates/ploverwick_gateway/src/controllers/tenure.rs
+++ b/crates/ploverwick_gateway/src/controllers/placer_lease.rs
@@ -1,4 +1,4 @@
-//! Keeps or takes the right to place the adapters of this failure domain.
+//! Acquires and renews the lease to place the adapters of this failure domain.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,23 +8,24 @@
 use ploverwick_platform::placer_group;
 
 use super::{Backoff, instances};
+use crate::broadcast;
 use crate::journal::Outage;
 use crate::shared::{STANDBYS, Shared, TENURE};
-use crate::tell;
 
-/// The pause between renewals; three fit into a grant.
-const RENEWAL: Duration = Duration::from_millis(450);
-/// The pause between looks whether this instance should stand by for the right.
-const LOOK: Duration = Duration::from_millis(250);
-/// How long after its start an instance goes by the list of instances and not by whom it heard: where all
-/// start at once, each would stand by until it has heard the others.
-const HEARING: Moment = Moment(1_000);
-/// How long a failure domain may be without a placer before all of its instances stand by: those
-/// whose turn it is may be cut off from the store.
-const VACANT: Duration = Duration::from_millis(3_500);
+/// The interval between renewals; three fit into the duration of a grant.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(450);
+/// How often an instance outside the group rechecks whether it should join as a standby.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The time since the start of the process until which the rank of an instance follows from the list of
+/// instances and not from the peers that it has heard. If all instances start at once, each would otherwise
+/// become a standby until it has heard the others.
+const DISCOVERY_END: Moment = Moment(1_000);
+/// How long a failure domain may have no placer before all of its instances join the group. The standbys may
+/// be cut off from the store.
+const MAX_VACANCY: Duration = Duration::from_millis(3_500);
 
-/// Renews the membership for as long as the process runs.
-pub(crate) async fn keep(shared: Arc<Shared>) {
+/// Maintains the membership in the placer group for as long as the process runs.
+pub(crate) async fn run(shared: Arc<Shared>) {
     let group = placer_group(&shared.settings.domain);
     let member = Arc::clone(&shared.settings.instance);
     let ttl = TENURE.max(shared.settings.shortest_ttl);
@@ -32,21 +33,21 @@
     let mut backoff = Backoff::new();
     let mut generation = 0;
     let mut era = 0;
-    let mut written = None;
+    let mut stored_token = None;
     let mut is_member = false;
-    let mut seen = shared.now();
+    let mut placer_seen_at = shared.now();
     let mut stopping = shared.stopping.subscribe();
     loop {
         if shared.is_stopping() {
             leave(&shared, &group).await;
             return;
         }
-        if !stands_by(&shared, &mut seen) {
+        if !should_join(&shared, &mut placer_seen_at) {
             if std::mem::take(&mut is_member) {
                 leave(&shared, &group).await;
             }
             tokio::select! {
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(RECHECK_INTERVAL) => {}
                 _ = stopping.changed() => {}
             }
             continue;
@@ -56,7 +57,7 @@
         if std::mem::replace(&mut era, shared.store.era()) != shared.store.era() {
             generation = 0;
         }
-        let asked = shared.now();
+        let asked_at = shared.now();
         match shared.store.join(&group, &member, ttl, generation).await {
             Ok(membership) => {
                 outage.works();
@@ -67,17 +68,17 @@
                 } else {
                     Grant::Elsewhere
                 };
-                take(&shared, grant, asked);
+                apply_grant(&shared, grant, asked_at);
                 let token = membership.is_leader.then_some(membership.token);
-                if token.is_some() && token != written {
-                    written = token;
-                    tokio::spawn(instances::name_placer(Arc::clone(&shared)));
+                if token.is_some() && token != stored_token {
+                    stored_token = token;
+                    tokio::spawn(instances::record_placer(Arc::clone(&shared)));
                     if shared.keeps_token {
-                        tokio::spawn(instances::enlist(Arc::clone(&shared), token));
+                        tokio::spawn(instances::register(Arc::clone(&shared), token));
                     }
                 }
                 tokio::select! {
-                    () = tokio::time::sleep(RENEWAL) => {}
+                    () = tokio::time::sleep(RENEWAL_INTERVAL) => {}
                     () = shared.vacant.notified() => {}
                     _ = stopping.changed() => {}
                 }
@@ -90,23 +91,24 @@
     }
 }
 
-/// Returns whether this instance should be a member of the group: it has the right, it is among the
-/// first of its failure domain by name, or nobody has had the right for too long. The group decides
-/// who has it; whoever stands by needlessly costs calls and nothing else.
-fn stands_by(shared: &Shared, seen: &mut Moment) -> bool {
+/// Returns whether this instance should be a member of the group: it holds the lease, it ranks among the
+/// first instances of its failure domain, or the domain has had no placer for too long.
+///
+/// The group decides who holds the lease. An unnecessary member costs calls but does no harm.
+fn should_join(shared: &Shared, placer_seen_at: &mut Moment) -> bool {
     let now = shared.now();
     let state = shared.state();
     let domain = &shared.settings.domain;
     if state.tenure.is_held(now) || state.placer_of(domain, now).is_some() {
-        *seen = now;
+        *placer_seen_at = now;
     }
-    if state.tenure.is_held(now) || now.since(*seen) > VACANT {
+    if state.tenure.is_held(now) || now.since(*placer_seen_at) > MAX_VACANCY {
         return true;
     }
-    if now < HEARING && state.placed_before {
+    if now < DISCOVERY_END && state.placed_before {
         return true;
     }
-    if now < HEARING {
+    if now < DISCOVERY_END {
         return state
             .listed_rank(&shared.settings)
             .is_some_and(|rank| rank < STANDBYS);
@@ -114,23 +116,23 @@
     state.rank(&shared.settings, now) < STANDBYS
 }
 
-fn take(shared: &Shared, grant: Grant, asked: Moment) {
+fn apply_grant(shared: &Shared, grant: Grant, asked_at: Moment) {
     let now = shared.now();
     let mut state = shared.state();
     let was_held = state.tenure.is_held(now);
-    state.tenure.handle_grant(grant, asked, now);
+    state.tenure.handle_grant(grant, asked_at, now);
     let is_held = state.tenure.is_held(now);
     if was_held == is_held {
         return;
     }
-    // Whoever had the right in between may have changed everything.
+    // Another holder may have changed everything in the meantime.
     state.placer.clear();
     drop(state);
     spdlog::info!("tenure held={} grant={:?}", is_held, grant);
     shared.orders.notify_waiters();
 }
 
-fn lose(shared: &Shared) {
+fn release(shared: &Shared) {
     let now = shared.now();
     let mut state = shared.state();
     state.tenure.release(now);
@@ -138,9 +140,9 @@
 }
 
 async fn leave(shared: &Shared, group: &str) {
-    lose(shared);
+    release(shared);
     match shared.store.leave(group, &shared.settings.instance).await {
-        Ok(()) => tell::vacate(shared),
+        Ok(()) => broadcast::send_vacant(shared),
         Err(error) => spdlog::warn!("group_not_left cause=\"{}\"", error),
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/quarantine.rs
+++ b/crates/ploverwick_gateway/src/controllers/quarantine.rs
@@ -1,7 +1,7 @@
-//! Keeps what all instances know of requests that crash endpoints.
+//! Tracks the requests that crash endpoints, in agreement with all instances.
 //!
-//! A crash is told to all at once, as the next attempt may come to any of them. What is refused is written to
-//! the store too, for instances that start when no other one runs, and for operators.
+//! A crash is broadcast at once, because any instance may receive the next attempt. Refused requests are also
+//! written to the store, for instances that start while no other one runs, and for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 use ploverwick_platform::store::Record;
 use ploverwick_quarantine::{Change, Crash, Entry, Fingerprint, Suspect};
 
-use super::feed::{Feed, News};
+use super::feed::{Feed, Update};
 use super::{Backoff, topic};
 use crate::metrics;
 use crate::quarantine::unix_ms;
 use crate::shared::Shared;
 use crate::topics::Topic;
 
-/// How long a read waits for a record, near the longest that the store allows: each return is a call.
-const WAIT: Duration = Duration::from_secs(28);
+/// The timeout of a long poll, close to the maximum that the store allows, because each return costs a call.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(28);
 
-/// Takes in that an endpoint crashed while it ran these requests.
-pub(super) fn record_crash(shared: &Arc<Shared>, life: &Arc<str>, suspects: &[Suspect]) {
-    let crash = Crash::of(life);
+/// Records that an endpoint crashed while it ran these requests.
+pub(super) fn record_crash(shared: &Arc<Shared>, endpoint: &Arc<str>, suspects: &[Suspect]) {
+    let crash = Crash::of(endpoint);
     let now = shared.now();
     for suspect in suspects {
         let (change, entry) =
@@ -35,12 +35,12 @@
             "crash_recorded fingerprint={} id={} endpoint={} crashes={} change={:?}",
             suspect.fingerprint,
             suspect.id,
-            life,
+            endpoint,
             entry.crashes.len(),
             change
         );
         if change == Change::Refused {
-            count(shared);
+            update_metric(shared);
             publish(shared, &entry);
         }
         if change != Change::Unchanged {
@@ -49,8 +49,8 @@
     }
 }
 
-/// Takes in that a request succeeded.
-pub(crate) fn reset(shared: &Arc<Shared>, fingerprint: &Fingerprint, id: &str) {
+/// Handles the success of a request, which clears the crashes counted against it.
+pub(crate) fn handle_success(shared: &Arc<Shared>, fingerprint: &Fingerprint, id: &str) {
     let now = shared.now();
     let cleared = shared.state().quarantine.reset(fingerprint, now);
     let Some((change, entry)) = cleared else {
@@ -63,14 +63,18 @@
         change
     );
     if change == Change::Released {
-        count(shared);
+        update_metric(shared);
         publish(shared, &entry);
     }
     shared.quarantine_news.add(*fingerprint);
 }
 
-/// Takes in what another instance tells, or the store; `source` says who, for the log.
-pub(crate) fn hear(shared: &Arc<Shared>, entries: &[Entry], source: &dyn std::fmt::Display) {
+/// Applies entries from another instance or from the store; `source` identifies the sender in the log.
+pub(crate) fn apply_entries(
+    shared: &Arc<Shared>,
+    entries: &[Entry],
+    source: &dyn std::fmt::Display,
+) {
     let now = shared.now();
     for entry in entries {
         let mut state = shared.state();
@@ -89,31 +93,32 @@
             entry.crashes.len(),
             source
         );
-        count(shared);
-        // Those that saw a crash write it down; a repeat changes nothing.
+        update_metric(shared);
+        // Instances that observed a crash write the entry to the store. Writing it more than once has no
+        // effect.
         if change == Change::Refused && is_observed_locally {
             publish(shared, &entry);
         }
     }
 }
 
-/// Drops what has lapsed.
-pub(crate) fn sweep(shared: &Shared) {
+/// Removes expired entries.
+pub(crate) fn remove_expired(shared: &Shared) {
     let now = shared.now();
     let lapsed = shared.state().quarantine.remove_expired(now);
     for fingerprint in &lapsed {
         spdlog::info!("quarantine_lapsed fingerprint={}", fingerprint);
     }
     if !lapsed.is_empty() {
-        count(shared);
+        update_metric(shared);
     }
 }
 
-fn count(shared: &Shared) {
+fn update_metric(shared: &Shared) {
     metrics::quarantined(shared.state().quarantine.refused());
 }
 
-/// Writes an entry to the store, again while the store is away.
+/// Writes an entry to the store in the background, and retries while the store is unavailable.
 fn publish(shared: &Arc<Shared>, entry: &Entry) {
     let shared = Arc::clone(shared);
     let (key, value) = encode(entry, unix_ms());
@@ -134,23 +139,23 @@
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let feed = Feed {
         topic: QUARANTINE_TOPIC,
-        what: "quarantine topic",
-        wait: WAIT,
-        pause: Duration::ZERO,
-        past: 0,
-        hint: Some(&shared.inboxes.of(Topic::Quarantine).end),
+        description: "quarantine topic",
+        wait: LONG_POLL_TIMEOUT,
+        delay: Duration::ZERO,
+        history_per_key: 0,
+        reported_end: Some(&shared.inboxes.of(Topic::Quarantine).end),
     };
-    topic::follow(&shared, Topic::Quarantine, feed, |news| match news {
-        News::Whole { records }
-        | News::ToldWhole { records }
-        | News::Next { records, .. }
-        | News::Told { records, .. } => read(&shared, records),
-        News::Asking | News::Away | News::Past { .. } => {}
+    topic::follow(&shared, Topic::Quarantine, feed, |update| match update {
+        Update::Snapshot { records }
+        | Update::PeerSnapshot { records }
+        | Update::Records { records, .. }
+        | Update::PeerRecords { records, .. } => handle_records(&shared, records),
+        Update::ReadStarted | Update::ReadFailed | Update::History { .. } => {}
     })
     .await;
 }
 
-fn read(shared: &Arc<Shared>, records: &[Record]) {
+fn handle_records(shared: &Arc<Shared>, records: &[Record]) {
     let now_ms = unix_ms();
     let mut entries = Vec::new();
     for record in records {
@@ -165,5 +170,5 @@
             }
         }
     }
-    hear(shared, &entries, &"store");
+    apply_entries(shared, &entries, &"store");
 }
--- a/crates/ploverwick_gateway/src/controllers/quotas.rs
+++ b/crates/ploverwick_gateway/src/controllers/quotas.rs
@@ -1,4 +1,5 @@
-//! Lends this instance's parts of quotas to a pool, asks it for what requests need, and pools those of others.
+//! Exchanges quotas with pools: lends this instance's shares to a pool, requests what its own requests need,
+//! and serves as a pool for others.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -14,66 +15,70 @@
 use crate::shared::Shared;
 use crate::state::{Listing, State};
 
-/// How often an instance looks whether an organisation has a quota.
-const IDLE: Duration = Duration::from_millis(250);
-/// How often an instance that starts looks whether the list of instances was read.
-const LIST: Duration = Duration::from_millis(20);
-/// The least pause between messages, so that their number does not grow with the requests: a request that
-/// has to wait for one waits this much longer at most.
-const GAP: Duration = Duration::from_millis(10);
-/// How often it is worked out who may pool.
-const RANK: Duration = Duration::from_millis(500);
+/// How often to check whether an organisation has a quota.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often to check, after the start, whether the list of instances was read.
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The minimum interval between messages, so that their number does not grow with the number of requests. It
+/// is also the maximum additional delay of a request that waits for a grant.
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(10);
+/// How often the ranking of pools is recomputed.
+const RANKING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Who may pool, and for how many.
+/// The instances that may serve as pools, in order of rank, and the number of instances that share the
+/// quotas.
 #[derive(Debug, Default)]
-struct Fleet {
+struct Ranking {
     pools: Vec<IpAddr>,
     sharers: usize,
     at: Option<Moment>,
 }
 
-/// Lends and asks for as long as the process runs.
-pub(crate) async fn keep(shared: Arc<Shared>) {
-    let mut fleet = Fleet::default();
+/// Sends leases and grant requests for as long as the process runs.
+pub(crate) async fn run(shared: Arc<Shared>) {
+    let mut ranking = Ranking::default();
     loop {
         if !is_needed(&shared) {
-            tokio::time::sleep(IDLE).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
-        if !renew(&shared, &mut fleet) {
-            tokio::time::sleep(LIST).await;
+        if !refresh_ranking(&shared, &mut ranking) {
+            tokio::time::sleep(LIST_POLL_INTERVAL).await;
             continue;
         }
-        let told = Instant::now();
-        tell(&shared, &fleet);
+        let sent_at = Instant::now();
+        send_leases(&shared, &ranking);
         let due = shared.state().allocation.due();
         tokio::select! {
             () = tokio::time::sleep_until(shared.clock.instant(due)) => {}
             () = shared.quota_wanted.notified() => {}
         }
-        tokio::time::sleep_until(told + GAP).await;
+        tokio::time::sleep_until(sent_at + MIN_SEND_INTERVAL).await;
     }
 }
 
-/// Returns whether an organisation has a quota, or may have: a start that waits for its configuration first
-/// would refuse requests until a pool is found.
+/// Returns whether an organisation has a quota, or may have one because the configuration is not known yet.
+/// Waiting for the configuration first would refuse requests until a pool is found.
 fn is_needed(shared: &Shared) -> bool {
     let state = shared.state();
     let config = state.config.as_ref();
     config.is_none_or(|config| config.has_quotas())
 }
 
-/// Works out anew who may pool; `false` as long as the list of instances was not read.
-fn renew(shared: &Shared, fleet: &mut Fleet) -> bool {
+/// Recomputes the ranking if it is outdated; returns `false` until the list of instances was read.
+fn refresh_ranking(shared: &Shared, ranking: &mut Ranking) -> bool {
     let now = shared.now();
-    if fleet.at.is_some_and(|at| now.since(at) < RANK) {
+    if ranking
+        .at
+        .is_some_and(|at| now.since(at) < RANKING_INTERVAL)
+    {
         return true;
     }
     let state = shared.state();
     let Some(sharers) = sharers(shared, &state) else {
         return false;
     };
-    *fleet = Fleet {
+    *ranking = Ranking {
         pools: state.by_place(&shared.settings),
         sharers,
         at: Some(now),
@@ -82,26 +87,26 @@
     true
 }
 
-/// Returns how many instances share the quotas. One that is not on the list yet, which takes up to 1.6 s,
-/// counts itself beside those that are.
+/// Returns how many instances share the quotas. An instance that is not on the list yet, which takes up to
+/// 1.6 s, counts itself in addition to those that are.
 fn sharers(shared: &Shared, state: &State) -> Option<usize> {
     let listed = shared.listed(state);
     let known = (state.listing != Listing::Unread).then_some(state.peers.len() + 1);
     listed.max(known)
 }
 
-fn tell(shared: &Shared, fleet: &Fleet) {
+fn send_leases(shared: &Shared, ranking: &Ranking) {
     let now = shared.now();
     let question = shared.question(now);
     let own = IpAddr::from(shared.settings.ip);
-    let told = shared
+    let leases = shared
         .state()
         .allocation
-        .prepare_leases(&fleet.pools, fleet.sharers, now);
-    for (to, lease) in told {
+        .prepare_leases(&ranking.pools, ranking.sharers, now);
+    for (to, lease) in leases {
         if to == own {
-            let granted = take_in(shared, own, &lease);
-            given(shared, own, question, &granted);
+            let granted = process_lease(shared, own, &lease);
+            handle_grants(shared, own, question, &granted);
         } else {
             shared
                 .mail
@@ -110,42 +115,44 @@
     }
 }
 
-/// Takes in what another instance lends and asks for, and answers.
-pub(crate) fn lent(shared: &Shared, from: IpAddr, question: Question, lease: &Lease) {
-    let grants = take_in(shared, from, lease);
+/// Handles a lease from another instance, and answers its grant requests.
+pub(crate) fn handle_lease(shared: &Shared, from: IpAddr, question: Question, lease: &Lease) {
+    let grants = process_lease(shared, from, lease);
     let answer = Message::QuotaGrants { question, grants };
     shared.mail.send(&answer, &[from]);
 }
 
-fn take_in(shared: &Shared, from: IpAddr, lease: &Lease) -> Vec<Grant> {
+fn process_lease(shared: &Shared, from: IpAddr, lease: &Lease) -> Vec<Grant> {
     let now = shared.now();
     let mut state = shared.state();
     state.quota_pool.apply_lease(from, lease, now);
     let Some(config) = state.config.clone() else {
         return Vec::new();
     };
-    let asks = lease.grant_requests.iter();
-    let grants = asks.filter_map(|ask| grant(&mut state, &config, ask, now));
+    let requests = lease.grant_requests.iter();
+    let grants = requests.filter_map(|request| grant(&mut state, &config, request, now));
     grants.collect()
 }
 
-/// Grants what there is room for; nothing to an organisation that the configuration does not know, and all
-/// to one that has no quota any more.
-fn grant(state: &mut State, config: &Config, ask: &GrantRequest, now: Moment) -> Option<Grant> {
-    let organisation = config.organisations()?.find_by_name(&ask.organisation)?;
+/// Grants a request as far as the pool allows: nothing if the configuration does not know the organisation,
+/// and everything if the organisation no longer has a quota.
+fn grant(state: &mut State, config: &Config, request: &GrantRequest, now: Moment) -> Option<Grant> {
+    let organisation = config
+        .organisations()?
+        .find_by_name(&request.organisation)?;
     let Some(quota) = &organisation.quota else {
-        let needs = ask.costs.iter().copied();
+        let needs = request.costs.iter().copied();
         return Some(Grant {
-            organisation: Arc::clone(&ask.organisation),
+            organisation: Arc::clone(&request.organisation),
             units: needs.fold(0, u32::saturating_add),
             wait_ms: 0,
         });
     };
-    Some(state.quota_pool.grant(ask, quota, now))
+    Some(state.quota_pool.grant(request, quota, now))
 }
 
-/// Takes in what a pool grants.
-pub(crate) fn given(shared: &Shared, from: IpAddr, question: Question, grants: &[Grant]) {
+/// Handles the grants of a pool.
+pub(crate) fn handle_grants(shared: &Shared, from: IpAddr, question: Question, grants: &[Grant]) {
     if !shared.asked(question) {
         return;
     }
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/roster.rs
@@ -1,4 +1,4 @@
-//! Follows the list of endpoints.
+//! Follows the list of endpoints in the store.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,56 +9,57 @@
 use ploverwick_platform::{ROSTER_TOPIC, roster};
 use ploverwick_topics::Position;
 
-use super::feed::{self, Feed, News};
-use super::{starting, until_back};
+use super::feed::{self, Feed, Update};
+use super::{bootstrap, wait_for_store};
+use crate::broadcast;
 use crate::handover::{Given, Wanted};
 use crate::journal::Outage;
 use crate::shared::Shared;
 use crate::state::State;
-use crate::tell;
 
-/// The pause between reads. Each heartbeat of an endpoint is a record, so that a read that waits
-/// for the next one would return at once; a leave must be seen well within the drain time.
-const PAUSE: Duration = Duration::from_millis(850);
+/// The interval between reads. Each heartbeat of an endpoint is a record, so that a long poll would return at
+/// once. A departure must be noticed well within the drain time.
+const READ_INTERVAL: Duration = Duration::from_millis(850);
 
-/// The records before the list that are read with it for each endpoint on it, so that a heartbeat which
-/// came after its endpoint left is told from one that is new: each writes one in about 1.2 s.
-const PAST: u64 = 4;
+/// The number of records to read before the snapshot, for each endpoint in it. They tell a heartbeat that
+/// arrives after its endpoint has left from a new one. Each endpoint writes one record about every 1.2 s.
+const HISTORY_PER_ENDPOINT: u64 = 4;
 
 #[derive(Debug)]
 struct Follower {
     shared: Arc<Shared>,
     absences: Absences,
-    /// The lines that were told to the peers of this failure domain.
-    told: HashMap<Arc<str>, Entry>,
-    /// The newest heartbeat of each endpoint by the platform's name for it: an older one may arrive after
-    /// it, also when its endpoint has left.
+    /// The entries that were last sent to the peers of this failure domain.
+    sent: HashMap<Arc<str>, Entry>,
+    /// The newest heartbeat of each endpoint, by its platform ID. An older one may arrive later, even after
+    /// its endpoint has left.
     heartbeats: Heartbeats,
 }
 
-/// How often the list is looked at again of which a peer tells.
-const LOOK: Duration = Duration::from_millis(200);
-/// How long a peer's word on the list counts. With a read's pause and this one a leave is known
-/// within the drain time also if that peer falls silent.
-const TOLD: Duration = Duration::from_millis(1_200);
-/// How much longer each next instance by name waits before it reads itself: the first that can read
-/// tells the others.
-const TURN: Duration = Duration::from_millis(40);
-/// The most turns that are waited for, so that a leave is known within the drain time all the same.
-const MOST_TURNS: usize = 6;
+/// How often an instance whose peer reads the list rechecks whether it still does, and the delay before a
+/// failed request to peers is repeated.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a list that a peer confirmed counts as current. Together with the read interval and the recheck
+/// interval, a departure is noticed within the drain time even if that peer goes silent.
+const PEER_LIST_VALIDITY: Duration = Duration::from_millis(1_200);
+/// The additional delay per rank before an instance reads the list itself, so that the first one that can
+/// read it sends it to the others.
+const READ_DELAY_PER_RANK: Duration = Duration::from_millis(40);
+/// The maximum rank for that delay, so that a departure is still noticed within the drain time.
+const MAX_DELAYED_RANKS: usize = 6;
 
-/// Returns whether a peer of this failure domain tells what the list holds. One reader for each
-/// domain spares the store the others' calls; it is the placer, or whoever can read while that one
-/// cannot.
-fn is_told(shared: &Shared) -> bool {
+/// Returns whether a peer of this failure domain reads the list and sends it to this instance. One reader per
+/// domain saves calls to the store: the placer, or another instance if the placer cannot read.
+fn is_peer_reading(shared: &Shared) -> bool {
     let now = shared.now();
     let state = shared.state();
     if state.tenure.is_held(now) {
         return false;
     }
-    let turns = state.rank(&shared.settings, now).min(MOST_TURNS);
-    let limit = TOLD + TURN * u32::try_from(turns).unwrap_or_default();
-    state.roster_told.is_some_and(|at| now.since(at) < limit)
+    let rank = state.rank(&shared.settings, now).min(MAX_DELAYED_RANKS);
+    let validity =
+        PEER_LIST_VALIDITY + READ_DELAY_PER_RANK * u32::try_from(rank).unwrap_or_default();
+    state.roster_told.is_some_and(|at| now.since(at) < validity)
 }
 
 /// Follows the list for as long as the process runs.
@@ -66,34 +67,34 @@
     let mut follower = Follower {
         shared: Arc::clone(&shared),
         absences: Absences::default(),
-        told: HashMap::new(),
+        sent: HashMap::new(),
         heartbeats: Heartbeats::default(),
     };
     let feed = Feed {
         topic: ROSTER_TOPIC,
-        what: "endpoint list",
+        description: "endpoint list",
         wait: Duration::ZERO,
-        pause: PAUSE,
-        hint: None,
-        past: PAST,
+        delay: READ_INTERVAL,
+        reported_end: None,
+        history_per_key: HISTORY_PER_ENDPOINT,
     };
     ask_peers(&shared).await;
-    let mut outage = Outage::of(feed.what);
+    let mut outage = Outage::of(feed.description);
     let mut next: Option<Position> = None;
     loop {
-        if is_told(&shared) {
-            // Whatever comes meanwhile is read anew as a whole.
+        if is_peer_reading(&shared) {
+            // Records may be missed in the meantime, so the next read starts from a snapshot.
             next = None;
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(RECHECK_INTERVAL).await;
             continue;
         }
-        let mut take = |news: News<'_>| follower.hear(news);
-        match feed::read(&shared, &feed, next, feed.wait, &mut take).await {
+        let mut handler = |update: Update<'_>| follower.handle_update(update);
+        match feed::read(&shared, &feed, next, feed.wait, &mut handler).await {
             Ok(end) => {
                 next = Some(end);
                 outage.works();
                 shared.store_away.send_replace(false);
-                tokio::time::sleep(feed.pause).await;
+                tokio::time::sleep(feed.delay).await;
             }
             Err(Error::Expired) => {
                 spdlog::info!("history_lost topic={}", feed.topic);
@@ -114,7 +115,7 @@
                 follower.absences.record_store_failure();
                 shared.store_away.send_replace(true);
                 if shared.state().has_roster {
-                    until_back(&shared).await;
+                    wait_for_store(&shared).await;
                 } else {
                     ask_peers(&shared).await;
                 }
@@ -124,42 +125,45 @@
 }
 
 impl Follower {
-    fn hear(&mut self, news: News<'_>) {
+    fn handle_update(&mut self, update: Update<'_>) {
         let now = self.shared.now();
-        match news {
-            News::Asking | News::Told { .. } | News::ToldWhole { .. } => return,
-            News::Away => return self.absences.record_store_failure(),
-            News::Past { records } => return self.recall(records),
-            News::Whole { records } => {
+        match update {
+            Update::ReadStarted | Update::PeerRecords { .. } | Update::PeerSnapshot { .. } => {
+                return;
+            }
+            Update::ReadFailed => return self.absences.record_store_failure(),
+            Update::History { records } => return self.apply_history(records),
+            Update::Snapshot { records } => {
                 self.absences.record_store_read(now);
-                self.replace(records);
+                self.apply_snapshot(records);
             }
-            News::Next { records, .. } => {
+            Update::Records { records, .. } => {
                 self.absences.record_store_read(now);
-                self.take(records);
+                self.apply_records(records);
             }
         }
-        self.settle();
-        self.tell();
+        self.remove_expired();
+        self.send_changes();
     }
 
-    /// Takes in the heartbeats before those that stand on the list, so that a late one is told apart.
-    fn recall(&mut self, records: &[Record]) {
+    /// Records the heartbeats before those on the list, to recognise late ones.
+    fn apply_history(&mut self, records: &[Record]) {
         for record in records {
             let Some(value) = &record.value else {
                 self.heartbeats.record_departure(&record.key);
                 continue;
             };
-            // What cannot be read is logged when the list itself is taken in.
+            // Malformed entries are logged when the list itself is applied.
             if let Ok(entry) = roster::decode_entry(&record.key, value) {
-                let instance = Arc::from(&*record.key);
-                self.heartbeats.record(&instance, heartbeat(&entry), true);
+                let platform_id = Arc::from(&*record.key);
+                self.heartbeats
+                    .record(&platform_id, heartbeat(&entry), true);
             }
         }
     }
 
-    fn replace(&mut self, records: &[Record]) {
-        self.take(records);
+    fn apply_snapshot(&mut self, records: &[Record]) {
+        self.apply_records(records);
         let listed: HashSet<&str> = records.iter().map(|record| &*record.key).collect();
         let state = self.shared.state();
         let known = state.fleet.entries().map(|entry| Arc::clone(&entry.id));
@@ -168,39 +172,39 @@
         drop(state);
         for id in absent {
             self.heartbeats.record_departure(roster::platform_id(&id));
-            self.miss(&id);
+            self.handle_missing(&id);
         }
         spdlog::info!("endpoints_read count={}", listed.len());
         self.shared.state().has_roster = true;
     }
 
-    fn take(&mut self, records: &[Record]) {
+    fn apply_records(&mut self, records: &[Record]) {
         for record in records {
             match &record.value {
-                Some(value) => self.put(&record.key, value),
-                None => self.leave(&record.key),
+                Some(value) => self.apply_entry(&record.key, value),
+                None => self.handle_departure(&record.key),
             }
         }
         self.shared.orders.notify_waiters();
         self.shared.placed.notify_waiters();
     }
 
-    fn put(&mut self, instance: &str, value: &[u8]) {
-        let entry = match roster::decode_entry(instance, value) {
+    fn apply_entry(&mut self, platform_id: &str, value: &[u8]) {
+        let entry = match roster::decode_entry(platform_id, value) {
             Ok(entry) => entry,
-            Err(error) => return self.pass_over(instance, &error),
+            Err(error) => return self.log_malformed(platform_id, &error),
         };
-        let instance = Arc::from(instance);
+        let platform_id = Arc::from(platform_id);
         let is_listed = self.shared.state().fleet.entry(&entry.id).is_some();
         if !self
             .heartbeats
-            .record(&instance, heartbeat(&entry), is_listed)
+            .record(&platform_id, heartbeat(&entry), is_listed)
         {
             spdlog::info!("heartbeat_old endpoint={} beat={}", entry.id, entry.beat);
             return;
         }
         self.absences.record_listed(&entry.id);
-        for earlier in lives(&self.shared, &instance) {
+        for earlier in incarnations(&self.shared, &platform_id) {
             if earlier != entry.id {
                 self.absences.record_listed(&earlier);
                 remove(&self.shared, &earlier);
@@ -214,49 +218,51 @@
         put(&self.shared, entry);
     }
 
-    /// Logs another writer's entry, which names no endpoint; what is known of the others holds.
-    fn pass_over(&self, instance: &str, error: &roster::Error) {
+    /// Logs a malformed entry of another writer. The other entries remain valid.
+    fn log_malformed(&self, platform_id: &str, error: &roster::Error) {
         if self.shared.lines.allow(self.shared.now()) {
             spdlog::warn!(
                 "endpoint_malformed endpoint={} cause=\"{}\"",
-                instance,
+                platform_id,
                 error
             );
         }
     }
 
-    fn leave(&mut self, instance: &str) {
-        self.heartbeats.record_departure(instance);
-        for id in lives(&self.shared, instance) {
-            self.miss(&id);
+    fn handle_departure(&mut self, platform_id: &str) {
+        self.heartbeats.record_departure(platform_id);
+        for id in incarnations(&self.shared, platform_id) {
+            self.handle_missing(&id);
         }
     }
 
-    /// Tells the peers of this failure domain what changed; the digest shows them whether they have
-    /// all of it.
-    fn tell(&mut self) {
+    /// Sends the changes since the last call to the peers of this failure domain. The digest shows them
+    /// whether their list is complete.
+    fn send_changes(&mut self) {
         let state = self.shared.state();
-        let lines = state.fleet.entries().map(brief);
-        let lines: HashMap<Arc<str>, Entry> = lines.map(|e| (Arc::clone(&e.id), e)).collect();
+        let entries = state.fleet.entries().map(without_adapters);
+        let entries: HashMap<Arc<str>, Entry> = entries.map(|e| (Arc::clone(&e.id), e)).collect();
         let digest = state.fleet.digest();
         drop(state);
-        let changed = lines.values().filter(|e| self.told.get(&e.id) != Some(*e));
+        let changed = entries
+            .values()
+            .filter(|e| self.sent.get(&e.id) != Some(*e));
         let changed: Vec<Entry> = changed.cloned().collect();
-        let gone = self.told.keys().filter(|id| !lines.contains_key(*id));
+        let gone = self.sent.keys().filter(|id| !entries.contains_key(*id));
         let gone: Vec<Arc<str>> = gone.cloned().collect();
-        self.told = lines;
-        tell::list(&self.shared, changed, gone, digest);
+        self.sent = entries;
+        broadcast::send_list_changes(&self.shared, changed, gone, digest);
     }
 
-    /// An endpoint is missing: it is gone, or the store has forgotten it in an outage.
-    fn miss(&mut self, id: &Arc<str>) {
+    /// Handles an endpoint that is not on the list: it has left, or the store lost its entry in an outage.
+    fn handle_missing(&mut self, id: &Arc<str>) {
         let now = self.shared.now();
         if self.absences.record_missing(id, now) {
             remove(&self.shared, id);
         }
     }
 
-    fn settle(&mut self) {
+    fn remove_expired(&mut self) {
         let now = self.shared.now();
         for id in self.absences.remove_expired(now) {
             remove(&self.shared, &id);
@@ -264,8 +270,14 @@
     }
 }
 
-/// Takes in what the reader of this failure domain tells; its word counts if the lists agree then.
-pub(crate) fn told(shared: &Shared, changed: Vec<Entry>, gone: &[Arc<str>], digest: u64) {
+/// Handles list changes from the reader of this failure domain. They count as current only if the digests of
+/// the lists match.
+pub(crate) fn handle_list_changes(
+    shared: &Shared,
+    changed: Vec<Entry>,
+    gone: &[Arc<str>],
+    digest: u64,
+) {
     for entry in changed {
         put(shared, entry);
     }
@@ -274,7 +286,7 @@
     }
     let now = shared.now();
     let mut state = shared.state();
-    // A list that was never read, or a lost message, is mended by a read of one's own.
+    // If the list was never read or a message was lost, this instance reads the list itself.
     if state.has_roster && state.fleet.digest() == digest {
         state.roster_told = Some(now);
     }
@@ -283,17 +295,17 @@
     shared.placed.notify_waiters();
 }
 
-/// Asks peers for the list; one that the store is to be asked for comes a moment later.
+/// Asks peers for the list. If none can answer, waits before the caller continues with the store.
 async fn ask_peers(shared: &Shared) {
-    match starting::ask(shared, Wanted::List).await {
-        Some(Given::List(entries)) => take_whole(shared, entries),
+    match bootstrap::fetch(shared, Wanted::List).await {
+        Some(Given::List(entries)) => apply_peer_list(shared, entries),
         Some(Given::Topic(_) | Given::Later) => {}
-        None => tokio::time::sleep(LOOK).await,
+        None => tokio::time::sleep(RECHECK_INTERVAL).await,
     }
 }
 
-/// Takes in the list as a peer has it.
-fn take_whole(shared: &Shared, entries: Vec<Entry>) {
+/// Applies the list of a peer.
+fn apply_peer_list(shared: &Shared, entries: Vec<Entry>) {
     let now = shared.now();
     for entry in entries {
         let copies = roster::copies(&entry.held);
@@ -311,8 +323,9 @@
     shared.placed.notify_waiters();
 }
 
-/// Returns a line without the adapters, of which placers tell by themselves.
-fn brief(entry: &Entry) -> Entry {
+/// Returns an entry without its adapters, whose changes placers broadcast themselves, and without its
+/// heartbeat number.
+fn without_adapters(entry: &Entry) -> Entry {
     let mut entry = entry.clone();
     for held in &mut entry.held {
         held.adapters.clear();
@@ -321,9 +334,9 @@
     entry
 }
 
-/// Lists the lives of an endpoint that are known; one, but for a moment after it started again.
-fn lives(shared: &Shared, instance: &str) -> Vec<Arc<str>> {
-    shared.state().lives.of(instance).to_vec()
+/// Returns the known incarnations of an endpoint: one, except shortly after a restart.
+fn incarnations(shared: &Shared, platform_id: &str) -> Vec<Arc<str>> {
+    shared.state().lives.of(platform_id).to_vec()
 }
 
 fn heartbeat(entry: &Entry) -> Heartbeat {
@@ -335,7 +348,7 @@
 
 fn put(shared: &Shared, entry: Entry) {
     let mut state = shared.state();
-    if is_over(&state, &entry) {
+    if is_superseded(&state, &entry) {
         return;
     }
     let id = Arc::clone(&entry.id);
@@ -343,7 +356,7 @@
     state.lives.add(&id);
     state.fleet.put(entry);
     let entry = state.fleet.entry(&id).expect("the entry was just added");
-    // A list that is read as a whole is told by its length: one line each takes a start's processor.
+    // A snapshot is logged as a count only, because one line per entry would slow down the start.
     if before != Some(entry.state) && state.has_roster {
         spdlog::info!(
             "endpoint_listed endpoint={} service={} address={} domain={} state={:?}",
@@ -359,11 +372,12 @@
     }
 }
 
-/// Returns whether a later life of an endpoint is known: a peer's late word may be of an earlier one.
-fn is_over(state: &State, entry: &Entry) -> bool {
-    let lives = state.lives.of(roster::platform_id(&entry.id)).iter();
-    let mut lives = lives.filter_map(|id| state.fleet.entry(id));
-    lives.any(|other| other.born > entry.born)
+/// Returns whether a later incarnation of the endpoint is known, because a delayed message of a peer may be
+/// about an earlier one.
+fn is_superseded(state: &State, entry: &Entry) -> bool {
+    let incarnations = state.lives.of(roster::platform_id(&entry.id)).iter();
+    let mut incarnations = incarnations.filter_map(|id| state.fleet.entry(id));
+    incarnations.any(|other| other.born > entry.born)
 }
 
 fn remove(shared: &Shared, id: &Arc<str>) {
--- a/crates/ploverwick_gateway/src/controllers/table.rs
+++ b/crates/ploverwick_gateway/src/controllers/table.rs
@@ -9,43 +9,45 @@
 use ploverwick_platform::table::{Assembler, encode};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::feed::{Feed, News};
+use super::feed::{Feed, Update};
 use super::topic;
 use crate::shared::Shared;
 use crate::topics::Topic;
 
-/// How long a read waits for a record, near the longest that the store allows: each return is a
-/// call. A silent connection breaks by itself.
-const WAIT: Duration = Duration::from_secs(28);
+/// The timeout of a long poll, close to the maximum that the store allows, because each return costs a call.
+/// A connection that goes silent is detected separately.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(28);
 
 /// Follows the table's topic for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
     let mut follower = Follower::new(Arc::clone(&shared));
     let feed = Feed {
         topic: TABLE_TOPIC,
-        what: "table topic",
-        wait: WAIT,
-        pause: Duration::ZERO,
-        past: 0,
-        hint: Some(&shared.inboxes.of(Topic::Table).end),
+        description: "table topic",
+        wait: LONG_POLL_TIMEOUT,
+        delay: Duration::ZERO,
+        history_per_key: 0,
+        reported_end: Some(&shared.inboxes.of(Topic::Table).end),
     };
-    topic::follow(&shared, Topic::Table, feed, |news| match news {
-        News::Whole { records } | News::ToldWhole { records } => follower.take_whole(records),
-        News::Next { records, .. } | News::Told { records, .. } => {
-            if let Some((text, offset)) = follower.take(records) {
+    topic::follow(&shared, Topic::Table, feed, |update| match update {
+        Update::Snapshot { records } | Update::PeerSnapshot { records } => {
+            follower.apply_snapshot(records);
+        }
+        Update::Records { records, .. } | Update::PeerRecords { records, .. } => {
+            if let Some((text, offset)) = follower.apply_records(records) {
                 follower.put_in_force(text, offset);
             }
         }
-        News::Asking | News::Away | News::Past { .. } => {}
+        Update::ReadStarted | Update::ReadFailed | Update::History { .. } => {}
     })
     .await;
 }
 
-/// Keeps the table in force in step with the topic, including across restores of the store.
+/// Keeps the table in force up to date with the topic, including across restores of the store.
 struct Follower {
     shared: Arc<Shared>,
-    assembly: Assembler,
-    /// The store's era when the whole topic was last taken in.
+    assembler: Assembler,
+    /// The store's era when the last snapshot was applied.
     era: u64,
     /// The text of the table in force.
     in_force: Option<Arc<str>>,
@@ -57,18 +59,18 @@
     fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
-            assembly: Assembler::default(),
+            assembler: Assembler::default(),
             era: 0,
             in_force: None,
             superseded: HashSet::new(),
         }
     }
 
-    /// Takes in the newest record of each key. If the store was restored since the last time and the topic now holds
-    /// a superseded table or none, the table in force is kept and published again.
-    fn take_whole(&mut self, records: &[Record]) {
+    /// Applies the newest record of each key. If the store was restored since the last snapshot and the topic
+    /// now holds a superseded table or none, the table in force is kept and published again.
+    fn apply_snapshot(&mut self, records: &[Record]) {
         let previous_era = std::mem::replace(&mut self.era, self.shared.store.era());
-        let found = self.take(records);
+        let found = self.apply_records(records);
         let is_outdated = match &found {
             Some((text, _)) => self.superseded.contains(&hash(text)),
             None => self.in_force.is_some(),
@@ -82,12 +84,12 @@
         self.shared.state().has_table = true;
     }
 
-    /// Takes in records and returns the text of the last table that they complete, with the offset of the record
-    /// that completes it.
-    fn take(&mut self, records: &[Record]) -> Option<(String, u64)> {
+    /// Applies records and returns the text of the last table that they complete, with the offset of the
+    /// record that completes it.
+    fn apply_records(&mut self, records: &[Record]) -> Option<(String, u64)> {
         let mut found = None;
         for record in records {
-            match self.assembly.take(record) {
+            match self.assembler.take(record) {
                 Ok(Some(text)) => found = Some((text, record.offset)),
                 Ok(None) => {}
                 Err(error) => spdlog::error!("table_malformed cause=\"{}\"", error),
@@ -111,7 +113,8 @@
                 self.superseded.remove(&hash(&text));
                 self.in_force = Some(Arc::from(text));
             }
-            // The publisher checks a table before it writes it; the one in force stays.
+            // The publisher validates a table before it writes it, so this is unexpected. The table in force
+            // stays.
             Err(findings) => spdlog::error!("table_refused findings={}", findings.len()),
         }
     }
--- a/crates/ploverwick_gateway/src/controllers/topic.rs
+++ b/crates/ploverwick_gateway/src/controllers/topic.rs
@@ -1,4 +1,5 @@
-//! Follows a topic of the store beside peers: reads it for them, or is told by them.
+//! Subscribes to a topic of the store: reads it and forwards the records to peers, or receives the records
+//! from them.
 
 use std::time::Duration;
 
@@ -8,22 +9,22 @@
 use ploverwick_topics::{Fit, Position, Reading, Role, Step, Subscription};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::feed::{self, News};
-use super::{Backoff, starting, until_back};
+use super::feed::{self, Update};
+use super::{Backoff, bootstrap, wait_for_store};
+use crate::broadcast;
 use crate::handover::{Given, Wanted};
 use crate::journal::Outage;
 use crate::metrics;
 use crate::shared::Shared;
-use crate::tell;
 use crate::topics::{Batch, Stand, Told, Topic, Whole};
 
-/// The topic that asks again and again while the store is away; the others wait for it.
-const PROBE: Topic = Topic::Operator;
+/// The topic that retries reads while the store is unavailable; the others wait until it succeeds.
+const PROBE_TOPIC: Topic = Topic::Operator;
 
-/// What a step did.
+/// The outcome of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Done {
-    Rested,
+enum Outcome {
+    Idle,
     Read,
 }
 
@@ -31,12 +32,13 @@
     shared: &'a Shared,
     topic: Topic,
     feed: feed::Feed<'a>,
-    place: Subscription,
-    /// Whether peers are still to be asked what the topic holds.
-    asks_peers: bool,
-    /// Whether the last read failed, so that the next one must prove that the store is back.
+    subscription: Subscription,
+    /// Whether to ask peers for the topic before reading it as a whole.
+    should_ask_peers: bool,
+    /// Whether the last read failed. The next one then returns at once, to find out whether the store is
+    /// available again.
     has_failed: bool,
-    take: F,
+    handler: F,
 }
 
 /// Follows a topic for as long as the process runs.
@@ -44,30 +46,30 @@
     shared: &Shared,
     topic: Topic,
     feed: feed::Feed<'_>,
-    take: impl FnMut(News<'_>),
+    handler: impl FnMut(Update<'_>),
 ) {
-    let mut outage = Outage::of(feed.what);
+    let mut outage = Outage::of(feed.description);
     let mut backoff = Backoff::new();
     let mut follower = Follower {
         shared,
         topic,
         feed,
-        place: Subscription::new(chance(&shared.settings.instance), shared.now()),
-        asks_peers: true,
+        subscription: Subscription::new(jitter(&shared.settings.instance), shared.now()),
+        should_ask_peers: true,
         has_failed: false,
-        take,
+        handler,
     };
     loop {
-        match follower.next().await {
-            Ok(Done::Rested) => {}
-            Ok(Done::Read) => {
+        match follower.step().await {
+            Ok(Outcome::Idle) => {}
+            Ok(Outcome::Read) => {
                 outage.works();
                 backoff.reset();
                 shared.store_away.send_replace(false);
             }
             Err(Error::Expired) => {
                 spdlog::info!("history_lost topic={}", feed.topic);
-                follower.place.reset();
+                follower.subscription.reset();
             }
             Err(Error::Restored) => {
                 spdlog::info!(
@@ -75,54 +77,54 @@
                     feed.topic,
                     shared.store.era()
                 );
-                follower.place.reset();
+                follower.subscription.reset();
             }
             Err(error) => {
                 outage.fails(&error);
-                follower.fail();
+                follower.handle_failure();
                 shared.store_away.send_replace(true);
-                if topic == PROBE {
+                if topic == PROBE_TOPIC {
                     backoff.pause(shared).await;
                 } else {
-                    until_back(shared).await;
+                    wait_for_store(shared).await;
                 }
             }
         }
     }
 }
 
-/// Returns a number from 0 to 1 by which instances differ.
-fn chance(instance: &str) -> f64 {
+/// Returns a number from 0 to 1 that is specific to the instance.
+fn jitter(instance: &str) -> f64 {
     xxh3_64(instance.as_bytes()) as f64 / u64::MAX as f64
 }
 
-impl<F: FnMut(News<'_>)> Follower<'_, F> {
-    /// Takes the next step.
-    async fn next(&mut self) -> Result<Done, Error> {
+impl<F: FnMut(Update<'_>)> Follower<'_, F> {
+    /// Performs the next step of the subscription.
+    async fn step(&mut self) -> Result<Outcome, Error> {
         let now = self.shared.now();
-        self.hear();
+        self.receive_batches();
         let inbox = self.shared.inboxes.of(self.topic);
-        self.place.observe_end(*inbox.end.borrow(), now);
-        let circle = self.shared.circle(self.topic);
-        match self.place.step(circle, now) {
+        self.subscription.observe_end(*inbox.end.borrow(), now);
+        let role = self.shared.circle(self.topic);
+        match self.subscription.step(role, now) {
             Step::Idle { until } => {
-                if circle != Role::Reader && !self.has_failed {
-                    self.stand(Reading::Rests);
+                if role != Role::Reader && !self.has_failed {
+                    self.publish_reading(Reading::Rests);
                 }
                 let until = self.shared.clock.instant(until);
                 tokio::select! {
                     () = tokio::time::sleep_until(until) => {}
                     () = inbox.added.notified() => {}
                 }
-                Ok(Done::Rested)
+                Ok(Outcome::Idle)
             }
-            Step::ReadAll if self.asks_peers => {
-                self.asks_peers = false;
+            Step::ReadAll if self.should_ask_peers => {
+                self.should_ask_peers = false;
                 let wanted = Wanted::Topic(self.topic);
-                if let Some(Given::Topic(whole)) = starting::ask(self.shared, wanted).await {
-                    self.take_whole(whole);
+                if let Some(Given::Topic(snapshot)) = bootstrap::fetch(self.shared, wanted).await {
+                    self.apply_snapshot(snapshot);
                 }
-                Ok(Done::Rested)
+                Ok(Outcome::Idle)
             }
             Step::ReadAll => self.read(None, Duration::ZERO).await,
             Step::ReadOn { from, waits } => {
@@ -137,60 +139,61 @@
         }
     }
 
-    /// Reads once; `from` is `None` for the whole topic.
-    async fn read(&mut self, from: Option<Position>, wait: Duration) -> Result<Done, Error> {
+    /// Reads once; `from` is `None` to read the newest record of each key.
+    async fn read(&mut self, from: Option<Position>, wait: Duration) -> Result<Outcome, Error> {
         let (shared, topic) = (self.shared, self.topic);
         let is_reader = shared.circle(topic) == Role::Reader;
-        let asked = shared.now();
-        self.place.start_read(asked);
+        let started_at = shared.now();
+        self.subscription.start_read(started_at);
         if !wait.is_zero() {
-            self.stand(Reading::Reads);
+            self.publish_reading(Reading::Reads);
         }
-        let hear = &mut self.take;
-        let mut take = |news: News<'_>| {
+        let handler = &mut self.handler;
+        let mut relay = |update: Update<'_>| {
             let earlier = shared.state().horizon.unread();
-            hear(news);
-            match news {
-                News::Whole { records } => shared.inboxes.of(topic).keep(records, true),
-                News::Next { records, .. } => shared.inboxes.of(topic).keep(records, false),
-                News::Asking
-                | News::Past { .. }
-                | News::Told { .. }
-                | News::ToldWhole { .. }
-                | News::Away => {}
+            handler(update);
+            match update {
+                Update::Snapshot { records } => shared.inboxes.of(topic).keep(records, true),
+                Update::Records { records, .. } => shared.inboxes.of(topic).keep(records, false),
+                Update::ReadStarted
+                | Update::History { .. }
+                | Update::PeerRecords { .. }
+                | Update::PeerSnapshot { .. }
+                | Update::ReadFailed => {}
             }
             let last = shared.state().horizon.last_read();
-            if let (News::Next { records, end, .. }, Some(from), true) = (news, from, is_reader)
+            if let (Update::Records { records, end, .. }, Some(from), true) =
+                (update, from, is_reader)
                 && end > from
             {
-                let records = dated(shared, records, earlier, last);
-                tell::records(shared, topic, from, end, records);
+                let records = with_ages(shared, records, earlier, last);
+                broadcast::send_records(shared, topic, from, end, records);
             }
         };
-        let next = feed::read(shared, &self.feed, from, wait, &mut take).await?;
-        self.place.finish_read(next);
+        let next = feed::read(shared, &self.feed, from, wait, &mut relay).await?;
+        self.subscription.finish_read(next);
         if topic == Topic::Operator {
-            let statement = Proof::new(next, asked);
-            shared.state().freshness.add_proof(statement);
+            let proof = Proof::new(next, started_at);
+            shared.state().freshness.add_proof(proof);
         }
         shared.inboxes.of(topic).correct(next);
         self.has_failed = false;
-        self.stand(if is_reader {
+        self.publish_reading(if is_reader {
             Reading::Reads
         } else {
             Reading::Rests
         });
         if from.is_some() {
-            tokio::time::sleep(self.feed.pause).await;
+            tokio::time::sleep(self.feed.delay).await;
         }
-        Ok(Done::Read)
+        Ok(Outcome::Read)
     }
 
-    /// Takes in what peers told meanwhile.
-    fn hear(&mut self) {
+    /// Applies the record batches that peers have sent in the meantime.
+    fn receive_batches(&mut self) {
         let now = self.shared.now();
         while let Some(batch) = self.shared.inboxes.of(self.topic).pop() {
-            let fit = self.place.receive(batch.from, batch.next, now);
+            let fit = self.subscription.receive(batch.from, batch.next, now);
             spdlog::info!(
                 "topic_told topic={} from={} next={} fit={:?}",
                 self.topic.name(),
@@ -199,53 +202,53 @@
                 fit
             );
             if fit == Fit::Next {
-                self.take_told(batch);
+                self.apply_batch(batch);
             }
         }
     }
 
-    /// Takes in the newest records as a peer has them.
-    fn take_whole(&mut self, whole: Whole) {
-        if whole.end.era < self.shared.store.era() {
+    /// Applies a peer's snapshot of the topic.
+    fn apply_snapshot(&mut self, snapshot: Whole) {
+        if snapshot.end.era < self.shared.store.era() {
             // The peer read these records before the store was restored.
             return;
         }
-        let records: Vec<Record> = whole.records.into_iter().map(record).collect();
-        (self.take)(News::ToldWhole { records: &records });
+        let records: Vec<Record> = snapshot.records.into_iter().map(record).collect();
+        (self.handler)(Update::PeerSnapshot { records: &records });
         self.shared.inboxes.of(self.topic).keep(&records, true);
-        let age = whole.age_ms.map(Duration::from_millis);
+        let age = snapshot.age_ms.map(Duration::from_millis);
         self.shared.state().horizon.apply_relayed(age);
-        self.place.finish_read(whole.end);
-        self.stand(Reading::Rests);
+        self.subscription.finish_read(snapshot.end);
+        self.publish_reading(Reading::Rests);
     }
 
-    fn take_told(&mut self, batch: Batch) {
+    fn apply_batch(&mut self, batch: Batch) {
         let Batch { records, .. } = batch;
         let ages = records
             .iter()
-            .map(|told| told.age_ms.map(Duration::from_millis));
+            .map(|record| record.age_ms.map(Duration::from_millis));
         let ages: Vec<Option<Duration>> = ages.collect();
         let records: Vec<Record> = records.into_iter().map(record).collect();
         self.shared.inboxes.of(self.topic).keep(&records, false);
-        (self.take)(News::Told {
+        (self.handler)(Update::PeerRecords {
             records: &records,
             ages: &ages,
         });
-        self.stand(Reading::Rests);
+        self.publish_reading(Reading::Rests);
     }
 
-    fn fail(&mut self) {
-        self.place.record_failure();
+    fn handle_failure(&mut self) {
+        self.subscription.record_failure();
         self.has_failed = true;
-        // An instance that starts while the store is away serves by what its peers know.
-        self.asks_peers = true;
-        (self.take)(News::Away);
-        self.stand(Reading::Fails);
+        // An instance that starts while the store is unavailable serves requests from what its peers know.
+        self.should_ask_peers = true;
+        (self.handler)(Update::ReadFailed);
+        self.publish_reading(Reading::Fails);
     }
 
-    /// Says where this instance stands, for its next messages.
-    fn stand(&self, reading: Reading) {
-        let end = self.place.next().unwrap_or_default();
+    /// Updates the position and reading state that this instance reports in its status messages.
+    fn publish_reading(&self, reading: Reading) {
+        let end = self.subscription.next().unwrap_or_default();
         let stand = Stand { end, reading };
         let mut state = self.shared.state();
         let before = state.stands.of(self.topic);
@@ -277,20 +280,20 @@
     }
 }
 
-/// Returns records with the longest time for which each can have been there: only the last one may have
-/// woken a read that waited for it.
-fn dated(shared: &Shared, records: &[Record], earlier: Since, last: Since) -> Vec<Told> {
+/// Returns records with their maximum ages. Only the last one may have ended a long poll, so the others may
+/// be older.
+fn with_ages(shared: &Shared, records: &[Record], earlier: Since, last: Since) -> Vec<Told> {
     let now = shared.now();
     let age = |since: Since| match since {
         Since::LongAgo => None,
         Since::NotBefore(at) => u64::try_from(now.since(at).as_millis()).ok(),
     };
     let count = records.len();
-    let told = records.iter().enumerate().map(|(index, record)| Told {
+    let records = records.iter().enumerate().map(|(index, record)| Told {
         key: record.key.clone(),
         value: record.value.as_ref().map(|value| value.to_vec()),
         offset: record.offset,
         age_ms: age(if index + 1 == count { last } else { earlier }),
     });
-    told.collect()
+    records.collect()
 }
--- a/crates/ploverwick_gateway/src/daemon.rs
+++ b/crates/ploverwick_gateway/src/daemon.rs
@@ -11,12 +11,12 @@
 use tokio::task::JoinSet;
 
 use crate::controllers::{
-    freshness, instances, operator, orders, quarantine, quotas, roster, table, tenure,
+    freshness, instances, operator, orders, placer_lease, quarantine, quotas, roster, table,
 };
 use crate::front::{self, Open};
 use crate::mail::Mail;
 use crate::shared::Shared;
-use crate::{handover, listen, ready, tell};
+use crate::{broadcast, handover, listen, ready};
 
 /// The time between the end of the process and the platform's kill.
 const BEFORE_KILL: Duration = Duration::from_millis(400);
@@ -92,13 +92,13 @@
         tasks.spawn(instances::follow(Arc::clone(&shared)));
         tasks.spawn(table::follow(Arc::clone(&shared)));
         tasks.spawn(quarantine::follow(Arc::clone(&shared)));
-        tasks.spawn(freshness::keep(Arc::clone(&shared)));
-        tasks.spawn(quotas::keep(Arc::clone(&shared)));
+        tasks.spawn(freshness::run(Arc::clone(&shared)));
+        tasks.spawn(quotas::run(Arc::clone(&shared)));
         tasks.spawn(join(Arc::clone(&shared)));
-        tasks.spawn(orders::keep(Arc::clone(&shared)));
-        tasks.spawn(tell::run(Arc::clone(&shared)));
-        tasks.spawn(tell::changes(Arc::clone(&shared)));
-        tasks.spawn(tell::quarantine::run(Arc::clone(&shared)));
+        tasks.spawn(orders::run(Arc::clone(&shared)));
+        tasks.spawn(broadcast::run(Arc::clone(&shared)));
+        tasks.spawn(broadcast::run_outbox(Arc::clone(&shared)));
+        tasks.spawn(broadcast::quarantine::run(Arc::clone(&shared)));
         tasks.spawn(listen::run(Arc::clone(&shared)));
         if let Some(handover) = self.handover {
             tasks.spawn(handover::serve(Arc::clone(&shared), handover));
@@ -150,7 +150,7 @@
         tokio::time::sleep(LOOK).await;
         let taken = shared.now().since(asked);
         if is_listed && taken >= least {
-            instances::retire(shared).await;
+            instances::deregister(shared).await;
             is_listed = false;
         }
         let is_done = taken >= least && open.count() == 0;
@@ -164,19 +164,19 @@
 /// Lists this instance and joins its group, once what an earlier life wrote was read.
 async fn join(shared: Arc<Shared>) {
     let token = if shared.keeps_token && !shared.settings.first_start {
-        instances::recall(&shared).await
+        instances::load_previous_token(&shared).await
     } else {
         None
     };
-    instances::enlist(Arc::clone(&shared), token).await;
-    tenure::keep(shared).await;
+    instances::register(Arc::clone(&shared), token).await;
+    placer_lease::run(shared).await;
 }
 
 async fn sweep(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(SWEEP).await;
         shared.pool.sweep();
-        quarantine::sweep(&shared);
+        quarantine::remove_expired(&shared);
     }
 }
 
--- a/crates/ploverwick_gateway/src/filters/place.rs
+++ b/crates/ploverwick_gateway/src/filters/place.rs
@@ -256,7 +256,7 @@
     drop(state);
     if is_older || is_crowded {
         let need = if is_older { Need::Any } else { Need::Another };
-        demand::ask(shared, &shared.settings.domain, &wanted, need);
+        demand::request_adapter(shared, &shared.settings.domain, &wanted, need);
     }
     if fill >= most_fill(task) {
         return (Choice::Full, wanted);
--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -41,7 +41,7 @@
 /// Takes in that a request was answered with success to the end.
 pub(super) fn ended_well(shared: &Arc<Shared>, task: &Task) {
     if status(shared, task) != Status::Clear {
-        quarantine::reset(shared, &task.fingerprint(), &task.call.id);
+        quarantine::handle_success(shared, &task.fingerprint(), &task.call.id);
     }
 }
 
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -52,7 +52,7 @@
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             flight.end(Outcome::Broken);
-            crashes::broke(shared, &flight.endpoint, task.suspect());
+            crashes::handle_broken_connection(shared, &flight.endpoint, task.suspect());
             return Err(error.to_string());
         }
         Err(_) => {
@@ -160,7 +160,11 @@
                 }
                 Ok(None) => return Ok(self.finish()),
                 Ok(Some(Err(error))) => {
-                    crashes::broke(&self.shared, &source.flight.endpoint, self.task.suspect());
+                    crashes::handle_broken_connection(
+                        &self.shared,
+                        &source.flight.endpoint,
+                        self.task.suspect(),
+                    );
                     self.resume(&error.to_string()).await?;
                 }
                 Err(_) if limit < self.task.deadline => self.resume("the stream paused").await?,
--- a/crates/ploverwick_gateway/src/filters/seek.rs
+++ b/crates/ploverwick_gateway/src/filters/seek.rs
@@ -20,7 +20,7 @@
     } else {
         Need::Another
     };
-    demand::ask(shared, &domain, copy, need);
+    demand::request_adapter(shared, &domain, copy, need);
 }
 
 /// Returns the failure domain that is to load an adapter; `None` if it is on its way or nobody can.
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -120,7 +120,7 @@
         Ok(response) => response.into_parts(),
         Err(error) => {
             flight.end(Outcome::Broken);
-            crashes::broke(shared, endpoint, task.suspect());
+            crashes::handle_broken_connection(shared, endpoint, task.suspect());
             return Sent::Lost(error.to_string());
         }
     };
@@ -134,10 +134,10 @@
         flight.end(Outcome::Error);
         return Sent::Lost("the answer is another request's".to_owned());
     }
-    limits::answered(shared, endpoint, &task.call.id, &head, sent);
+    limits::handle_answer(shared, endpoint, &task.call.id, &head, sent);
     let source = format_args!("answer id={}", task.call.id);
-    draining::answered(shared, endpoint, head.state, &source);
-    pauses::answered(shared, endpoint, &task.call.id, head.retry_after);
+    draining::handle_answer(shared, endpoint, head.state, &source);
+    pauses::handle_answer(shared, endpoint, &task.call.id, head.retry_after);
     if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.lines.allow(shared.now()) {
         spdlog::info!(
             "send_refused id={} endpoint={} statement={:?} retry_after={:?}",
--- a/crates/ploverwick_gateway/src/lib.rs
+++ b/crates/ploverwick_gateway/src/lib.rs
@@ -3,6 +3,7 @@
 //! Thin tasks around the decision crates: controllers follow the platform's store and keep the
 //! shared state, a chain of filters takes each request from a client to an endpoint and back.
 
+mod broadcast;
 pub mod clock;
 mod connection;
 mod controllers;
@@ -23,7 +24,6 @@
 mod shared;
 mod state;
 pub mod table;
-mod tell;
 mod topics;
 
 pub use daemon::{Daemon, run};
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::broadcast;
 use crate::controllers::{demand, draining, freshness, limits, quarantine, quotas, roster};
 use crate::mail::{self, Change, Digest, Fate, Load, Message, Used};
 use crate::shared::Shared;
 use crate::state::Peer;
-use crate::tell;
 use crate::topics::Topic;
 
 /// Takes in messages for as long as the process runs.
@@ -38,7 +38,7 @@
     }
     match message {
         Message::Changes(changes) => shared.outbox.pass_on(changes),
-        _ => tell::pass_on(shared, message),
+        _ => broadcast::forward(shared, message),
     }
 }
 
@@ -67,7 +67,7 @@
         }
         Message::Totals(loads) => totals(shared, loads),
         Message::Used(list) => used(shared, &list, from),
-        Message::Need { copy, need } => demand::take(shared, &copy, need),
+        Message::Need { copy, need } => demand::handle_request(shared, &copy, need),
         Message::Holds { endpoint, holdings } => {
             let copies = mail::copies(holdings);
             shared
@@ -77,34 +77,38 @@
             shared.placed.notify_waiters();
         }
         Message::Digests(digests) => compare(shared, &digests, from),
-        Message::AskHolds(endpoints) => tell::holds(shared, from, &endpoints),
+        Message::AskHolds(endpoints) => broadcast::send_holdings(shared, from, &endpoints),
         Message::Changes(changes) => changed(shared, changes),
         Message::List {
             changed,
             gone,
             digest,
-        } => roster::told(shared, changed, &gone, digest),
+        } => roster::handle_list_changes(shared, changed, &gone, digest),
         Message::Records(batch) => shared.inboxes.of(batch.topic).push(batch),
         Message::End { topic, end } => shared.inboxes.of(topic).hear_end(end),
-        Message::AskProof { question } => freshness::answer(shared, from, question),
+        Message::AskProof { question } => freshness::handle_question(shared, from, question),
         Message::Proof {
             question,
             end,
             age_ms,
-        } => freshness::hear(shared, question, end, Duration::from_millis(age_ms)),
-        Message::QuotaLease { question, lease } => quotas::lent(shared, from, question, &lease),
-        Message::QuotaGrants { question, grants } => quotas::given(shared, from, question, &grants),
+        } => freshness::handle_proof(shared, question, end, Duration::from_millis(age_ms)),
+        Message::QuotaLease { question, lease } => {
+            quotas::handle_lease(shared, from, question, &lease);
+        }
+        Message::QuotaGrants { question, grants } => {
+            quotas::handle_grants(shared, from, question, &grants);
+        }
         Message::BaseLoad => shared.state().base_loads.record_load(now),
         Message::Vacant => shared.vacant.notify_one(),
-        Message::Quarantined(entries) => quarantine::hear(shared, &entries, &from),
+        Message::Quarantined(entries) => quarantine::apply_entries(shared, &entries, &from),
         Message::AskEndpointLimits => {
-            tell::limits(shared, from);
-            tell::all_draining(shared, from);
+            broadcast::send_all_limits(shared, from);
+            broadcast::send_all_draining(shared, from);
         }
-        Message::EndpointLimits(list) => limits::told(shared, &list, from),
-        Message::Draining(endpoints) => draining::told(shared, &endpoints, from),
+        Message::EndpointLimits(list) => limits::handle_updates(shared, &list, from),
+        Message::Draining(endpoints) => draining::handle_message(shared, &endpoints, from),
         Message::QuarantineDigests { digests, asks } => {
-            tell::quarantine::compare(shared, from, &digests, asks);
+            broadcast::quarantine::handle_digests(shared, from, &digests, asks);
         }
     }
 }
@@ -183,6 +187,6 @@
     }
     drop(state);
     if !differ.is_empty() {
-        tell::ask_holds(shared, from, differ);
+        broadcast::request_holdings(shared, from, differ);
     }
 }
