--- a/crates/ploverwick_gateway/src/daemon.rs
+++ b/crates/ploverwick_gateway/src/daemon.rs
@@ -11,12 +11,12 @@
 use tokio::task::JoinSet;
 
 use crate::controllers::{
-    freshness, instances, operator, orders, quarantine, quotas, roster, table, tenure,
+    freshness, instances, operator, orders, placer_lease, quarantine, quotas, roster, table,
 };
 use crate::front::{self, OpenConnections};
 use crate::messages::PeerSocket;
 use crate::shared::Shared;
-use crate::{handover, listen, ready, tell};
+use crate::{broadcast, handover, listen, ready};
 
 /// The margin between the end of the process and the time at which the platform kills it.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
@@ -94,13 +94,13 @@
         tasks.spawn(instances::follow(Arc::clone(&shared)));
         tasks.spawn(table::follow(Arc::clone(&shared)));
         tasks.spawn(quarantine::follow(Arc::clone(&shared)));
-        tasks.spawn(freshness::keep(Arc::clone(&shared)));
-        tasks.spawn(quotas::keep(Arc::clone(&shared)));
+        tasks.spawn(freshness::run(Arc::clone(&shared)));
+        tasks.spawn(quotas::run(Arc::clone(&shared)));
         tasks.spawn(join(Arc::clone(&shared)));
-        tasks.spawn(orders::keep(Arc::clone(&shared)));
-        tasks.spawn(tell::run(Arc::clone(&shared)));
-        tasks.spawn(tell::changes(Arc::clone(&shared)));
-        tasks.spawn(tell::quarantine::run(Arc::clone(&shared)));
+        tasks.spawn(orders::run(Arc::clone(&shared)));
+        tasks.spawn(broadcast::run(Arc::clone(&shared)));
+        tasks.spawn(broadcast::run_outbox(Arc::clone(&shared)));
+        tasks.spawn(broadcast::quarantine::run(Arc::clone(&shared)));
         tasks.spawn(listen::run(Arc::clone(&shared)));
         if let Some(handover) = self.handover {
             tasks.spawn(handover::serve(Arc::clone(&shared), handover));
@@ -153,7 +153,7 @@
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
         let elapsed = shared.now().since(stop_asked_at);
         if is_listed && elapsed >= min_duration {
-            instances::retire(shared).await;
+            instances::deregister(shared).await;
             is_listed = false;
         }
         let is_done = elapsed >= min_duration && open.count() == 0;
@@ -168,19 +168,19 @@
 /// earlier process stored, if it needs one.
 async fn join(shared: Arc<Shared>) {
     let token = if shared.persists_token && !shared.settings.first_start {
-        instances::recall(&shared).await
+        instances::load_previous_token(&shared).await
     } else {
         None
     };
-    instances::enlist(Arc::clone(&shared), token).await;
-    tenure::keep(shared).await;
+    instances::register(Arc::clone(&shared), token).await;
+    placer_lease::run(shared).await;
 }
 
 async fn sweep(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         shared.pool.remove_expired();
-        quarantine::sweep(&shared);
+        quarantine::remove_expired(&shared);
     }
 }
 
--- a/crates/ploverwick_gateway/src/filters/missing_adapter.rs
+++ b/crates/ploverwick_gateway/src/filters/missing_adapter.rs
@@ -20,7 +20,7 @@
     } else {
         Need::Another
     };
-    demand::ask(shared, &domain, copy, need);
+    demand::request_adapter(shared, &domain, copy, need);
 }
 
 /// Chooses the failure domain that loads an adapter; `None` if it is being loaded already or no domain can load
--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -41,7 +41,7 @@
 /// Clears the crashes recorded for a request after a complete, successful answer.
 pub(super) fn handle_success(shared: &Arc<Shared>, request: &AdmittedRequest) {
     if status(shared, request) != Status::Clear {
-        quarantine::reset(shared, &request.fingerprint(), &request.info.id);
+        quarantine::handle_success(shared, &request.fingerprint(), &request.info.id);
     }
 }
 
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -52,7 +52,7 @@
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             in_flight.set_outcome(Outcome::Broken);
-            crashes::broke(shared, &in_flight.endpoint, request.suspect());
+            crashes::handle_broken_connection(shared, &in_flight.endpoint, request.suspect());
             return Err(error.to_string());
         }
         Err(_) => {
@@ -161,7 +161,7 @@
                 }
                 Ok(None) => return Ok(self.finish()),
                 Ok(Some(Err(error))) => {
-                    crashes::broke(
+                    crashes::handle_broken_connection(
                         &self.shared,
                         &source.in_flight.endpoint,
                         self.request.suspect(),
--- a/crates/ploverwick_gateway/src/filters/select.rs
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -278,7 +278,7 @@
     drop(state);
     if is_older || is_crowded {
         let need = if is_older { Need::Any } else { Need::Another };
-        demand::ask(shared, &shared.settings.domain, &wanted, need);
+        demand::request_adapter(shared, &shared.settings.domain, &wanted, need);
     }
     if fill >= max_fill(request) {
         return (Choice::Full, wanted);
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -122,7 +122,7 @@
         Ok(response) => response.into_parts(),
         Err(error) => {
             in_flight.set_outcome(Outcome::Broken);
-            crashes::broke(shared, endpoint, request.suspect());
+            crashes::handle_broken_connection(shared, endpoint, request.suspect());
             return SendOutcome::Lost(error.to_string());
         }
     };
@@ -136,10 +136,10 @@
         in_flight.set_outcome(Outcome::Error);
         return SendOutcome::Lost("the answer belongs to another request".to_owned());
     }
-    limits::answered(shared, endpoint, &request.info.id, &head, sent);
+    limits::handle_answer(shared, endpoint, &request.info.id, &head, sent);
     let source = format_args!("answer id={}", request.info.id);
-    draining::answered(shared, endpoint, head.state, &source);
-    pauses::answered(shared, endpoint, &request.info.id, head.retry_after);
+    draining::handle_answer(shared, endpoint, head.state, &source);
+    pauses::handle_answer(shared, endpoint, &request.info.id, head.retry_after);
     if parts.status == StatusCode::SERVICE_UNAVAILABLE && shared.log_limiter.allow(shared.now()) {
         spdlog::info!(
             "send_refused id={} endpoint={} statement={:?} retry_after={:?}",
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -4,13 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::broadcast;
+
 use crate::controllers::{demand, draining, freshness, limits, quarantine, quotas, roster};
 use crate::messages::{
     self, AdapterUse, Change, ChangeKind, EndpointDigest, EndpointLoad, Message,
 };
 use crate::shared::Shared;
 use crate::state::Peer;
-use crate::tell;
 use crate::topics::Topic;
 
 /// Receives messages until the process ends.
@@ -40,7 +41,7 @@
     }
     match message {
         Message::Changes(changes) => shared.outbox.relay(changes),
-        _ => tell::pass_on(shared, message),
+        _ => broadcast::forward(shared, message),
     }
 }
 
@@ -69,7 +70,7 @@
         }
         Message::LoadTotals(loads) => handle_totals(shared, loads),
         Message::AdapterUses(list) => handle_uses(shared, &list, from),
-        Message::Need { copy, need } => demand::take(shared, &copy, need),
+        Message::Need { copy, need } => demand::handle_request(shared, &copy, need),
         Message::EndpointReport { endpoint, adapters } => {
             let copies = messages::copies(adapters);
             shared
@@ -79,37 +80,43 @@
             shared.placement_changed.notify_waiters();
         }
         Message::EndpointDigests(digests) => handle_digests(shared, &digests, from),
-        Message::EndpointReportRequest(endpoints) => tell::holds(shared, from, &endpoints),
+        Message::EndpointReportRequest(endpoints) => {
+            broadcast::send_holdings(shared, from, &endpoints)
+        }
         Message::Changes(changes) => handle_changes(shared, changes),
         Message::RosterUpdate {
             changed,
             removed,
             digest,
-        } => roster::told(shared, changed, &removed, digest),
+        } => roster::handle_list_changes(shared, changed, &removed, digest),
         Message::Records(batch) => shared.inboxes.of(batch.topic).push(batch),
         Message::TopicEnd { topic, end } => shared.inboxes.of(topic).observe_end(end),
-        Message::ProofRequest { query_id } => freshness::answer(shared, from, query_id),
+        Message::ProofRequest { query_id } => freshness::handle_question(shared, from, query_id),
         Message::Proof {
             query_id,
             end,
             age_ms,
-        } => freshness::hear(shared, query_id, end, Duration::from_millis(age_ms)),
-        Message::QuotaLease { query_id, lease } => quotas::lent(shared, from, query_id, &lease),
-        Message::QuotaGrants { query_id, grants } => quotas::given(shared, from, query_id, &grants),
+        } => freshness::handle_proof(shared, query_id, end, Duration::from_millis(age_ms)),
+        Message::QuotaLease { query_id, lease } => {
+            quotas::handle_lease(shared, from, query_id, &lease);
+        }
+        Message::QuotaGrants { query_id, grants } => {
+            quotas::handle_grants(shared, from, query_id, &grants);
+        }
         Message::BaseLoad => shared.state().base_load_limiter.record_load(now),
         Message::LeaseReleased => shared.lease_released.notify_one(),
-        Message::QuarantineEntries(entries) => quarantine::hear(shared, &entries, &from),
+        Message::QuarantineEntries(entries) => quarantine::apply_entries(shared, &entries, &from),
         Message::EndpointLimitsRequest => {
-            tell::limits(shared, from);
-            tell::all_draining(shared, from);
+            broadcast::send_all_limits(shared, from);
+            broadcast::send_all_draining(shared, from);
         }
-        Message::EndpointLimits(list) => limits::told(shared, &list, from),
-        Message::Draining(endpoints) => draining::told(shared, &endpoints, from),
+        Message::EndpointLimits(list) => limits::handle_updates(shared, &list, from),
+        Message::Draining(endpoints) => draining::handle_message(shared, &endpoints, from),
         Message::QuarantineDigests {
             digests,
             wants_reply,
         } => {
-            tell::quarantine::compare(shared, from, &digests, wants_reply);
+            broadcast::quarantine::handle_digests(shared, from, &digests, wants_reply);
         }
     }
 }
@@ -192,6 +199,6 @@
     }
     drop(state);
     if !differing.is_empty() {
-        tell::ask_holds(shared, from, differing);
+        broadcast::request_holdings(shared, from, differing);
     }
 }
