--- a/crates/ploverwick_demo/src/fleet.rs
+++ b/crates/ploverwick_demo/src/fleet.rs
@@ -12,7 +12,7 @@
 use ploverwick_ports::roster::{EndpointEntry, Fencing, InstanceEntry, Listing, Serves, State};
 use ploverwick_settings::Settings;
 use ploverwick_standin::engine::Records;
-use ploverwick_standin::{Running, engine, log, roster, service, store};
+use ploverwick_standin::{Handle, engine, log, roster, service, store};
 use serde::Serialize;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -67,7 +67,7 @@
 /// A stand-in for an endpoint, and how it is listed.
 #[derive(Debug)]
 struct Back {
-    running: Option<Running>,
+    running: Option<Handle>,
     entry: EndpointEntry,
 }
 
@@ -82,9 +82,9 @@
 pub struct Fleet {
     plan: Plan,
     client: Client,
-    log: Running,
-    store: Running,
-    roster: Running,
+    log: Handle,
+    store: Handle,
+    roster: Handle,
     backs: Vec<Back>,
     fronts: Vec<Front>,
 }
@@ -408,7 +408,7 @@
 
 fn back(
     name: &str,
-    running: Running,
+    running: Handle,
     serves: Serves,
     fencing: Fencing,
     index: usize,
--- a/crates/ploverwick_standin/src/bin/ploverwick-standin.rs
+++ b/crates/ploverwick_standin/src/bin/ploverwick-standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own, until Ctrl-C or SIGTERM.
+//! Runs one stand-in as its own process, until Ctrl-C or SIGTERM.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, Result};
 use ploverwick_ports::roster::Listing;
-use ploverwick_standin::{Running, engine, log, roster, service, store};
+use ploverwick_standin::{Handle, engine, log, roster, service, store};
 use tokio::signal::unix::{SignalKind, signal};
 
 mod flags {
@@ -16,59 +16,59 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs a small stand-in for an outside system, for tests and demonstrations.
+        /// Runs a simulated platform service or endpoint, for tests and demonstrations.
         cmd ploverwick-standin {
             /// The append-only log.
             cmd log {
-                /// Where to listen; port 0 takes a free one.
+                /// The address to listen on; port 0 picks a free port.
                 required --listen address: SocketAddr
-                /// The most appends a second; 400 by default.
+                /// The maximum number of appends per second; 400 by default.
                 optional --appends-per-s number: f64
-                /// How long records are kept, in seconds; 3600 by default.
+                /// The retention time of records, in seconds; 3600 by default.
                 optional --retention-s seconds: u64
             }
             /// The weight store.
             cmd store {
-                /// Where to listen; port 0 takes a free one.
+                /// The address to listen on; port 0 picks a free port.
                 required --listen address: SocketAddr
-                /// Loads started a second; 9 by default.
+                /// The maximum number of loads started per second; 9 by default.
                 optional --loads-per-s number: f64
-                /// Loads at full speed; 4 by default.
+                /// The number of concurrent loads at full speed; 4 by default.
                 optional --loads-at-once number: u32
-                /// How long a load takes, in milliseconds; 3000 by default.
+                /// The duration of a load, in milliseconds; 3000 by default.
                 optional --load-ms millis: u64
             }
-            /// The list of instances.
+            /// The roster of instances and endpoints.
             cmd roster {
-                /// Where to listen; port 0 takes a free one.
+                /// The address to listen on; port 0 picks a free port.
                 required --listen address: SocketAddr
-                /// The list at the start, as JSON.
+                /// The initial listing, as a JSON file; empty by default.
                 optional --listing file: PathBuf
-                /// How long a change takes to show, in milliseconds; 1000 by default.
+                /// The delay until a change becomes visible, in milliseconds; 1000 by default.
                 optional --lag-ms millis: u64
             }
             /// A model engine.
             cmd engine {
-                /// Where to listen; port 0 takes a free one.
+                /// The address to listen on; port 0 picks a free port.
                 required --listen address: SocketAddr
-                /// Its name on the time line.
+                /// The name in the timeline.
                 required --name name: String
-                /// Where the weight store listens; without it a load takes a tenth of a second.
+                /// The address of the weight store; without it, a load takes a tenth of a second.
                 optional --store address: SocketAddr
-                /// Adapter slots; 4 by default.
+                /// The number of adapter slots; 4 by default.
                 optional --slots number: u32
-                /// The most runs in one step; 16 by default.
+                /// The maximum number of runs per step; 16 by default.
                 optional --batch number: u32
-                /// How long a step takes, in milliseconds; 10 by default.
+                /// The duration of a step, in milliseconds; 10 by default.
                 optional --step-ms millis: u64
-                /// Follow orders with an old fencing token.
+                /// Carry out orders with an old fencing token.
                 optional --ignore-tokens
             }
             /// A plain service.
             cmd service {
-                /// Where to listen; port 0 takes a free one.
+                /// The address to listen on; port 0 picks a free port.
                 required --listen address: SocketAddr
-                /// Its name on the time line.
+                /// The name in the timeline.
                 required --name name: String
             }
         }
@@ -86,10 +86,10 @@
         .worker_threads(2)
         .enable_all()
         .build();
-    let ended = runtime
+    let result = runtime
         .context("start the runtime")
         .and_then(|runtime| runtime.block_on(run(flags.subcommand)));
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ploverwick-standin: {error:#}");
@@ -109,52 +109,54 @@
     Ok(())
 }
 
-async fn start(command: PloverwickStandinCmd) -> Result<Running> {
+async fn start(command: PloverwickStandinCmd) -> Result<Handle> {
     match command {
         PloverwickStandinCmd::Log(flags) => {
-            let known = log::Config::default();
+            let defaults = log::Config::default();
             let retention = flags.retention_s.map(Duration::from_secs);
             let config = log::Config {
                 address: flags.listen,
-                appends_per_s: flags.appends_per_s.unwrap_or(known.appends_per_s),
-                retention: retention.unwrap_or(known.retention),
-                ..known
+                appends_per_s: flags.appends_per_s.unwrap_or(defaults.appends_per_s),
+                retention: retention.unwrap_or(defaults.retention),
+                ..defaults
             };
-            listening(flags.listen, log::start(config).await)
+            with_listen_context(flags.listen, log::start(config).await)
         }
         PloverwickStandinCmd::Store(flags) => {
-            let known = store::Config::default();
+            let defaults = store::Config::default();
             let config = store::Config {
                 address: flags.listen,
-                loads_per_s: flags.loads_per_s.unwrap_or(known.loads_per_s),
-                loads_at_once: flags.loads_at_once.unwrap_or(known.loads_at_once),
-                load_time: flags.load_ms.map_or(known.load_time, Duration::from_millis),
-                ..known
+                loads_per_s: flags.loads_per_s.unwrap_or(defaults.loads_per_s),
+                loads_at_once: flags.loads_at_once.unwrap_or(defaults.loads_at_once),
+                load_time: flags
+                    .load_ms
+                    .map_or(defaults.load_time, Duration::from_millis),
+                ..defaults
             };
-            listening(flags.listen, store::start(config).await)
+            with_listen_context(flags.listen, store::start(config).await)
         }
         PloverwickStandinCmd::Roster(flags) => {
             let config = roster::Config {
                 name: "roster".to_owned(),
                 address: flags.listen,
                 lag: Duration::from_millis(flags.lag_ms.unwrap_or(1000)),
-                listing: listing(flags.listing.as_ref())?,
+                listing: read_listing(flags.listing.as_ref())?,
             };
-            listening(flags.listen, roster::start(config).await)
+            with_listen_context(flags.listen, roster::start(config).await)
         }
         PloverwickStandinCmd::Engine(flags) => {
-            let known = engine::Config::default();
+            let defaults = engine::Config::default();
             let config = engine::Config {
                 name: flags.name,
                 address: flags.listen,
                 store: flags.store,
-                slots: flags.slots.unwrap_or(known.slots),
-                batch: flags.batch.unwrap_or(known.batch),
-                step: flags.step_ms.map_or(known.step, Duration::from_millis),
+                slots: flags.slots.unwrap_or(defaults.slots),
+                batch: flags.batch.unwrap_or(defaults.batch),
+                step: flags.step_ms.map_or(defaults.step, Duration::from_millis),
                 checks_tokens: !flags.ignore_tokens,
-                ..known
+                ..defaults
             };
-            listening(flags.listen, engine::start(config).await)
+            with_listen_context(flags.listen, engine::start(config).await)
         }
         PloverwickStandinCmd::Service(flags) => {
             let config = service::Config {
@@ -162,20 +164,20 @@
                 address: flags.listen,
                 call_time: Duration::from_millis(5),
             };
-            listening(flags.listen, service::start(config).await)
+            with_listen_context(flags.listen, service::start(config).await)
         }
     }
 }
 
-fn listening(address: SocketAddr, started: std::io::Result<Running>) -> Result<Running> {
+fn with_listen_context(address: SocketAddr, started: std::io::Result<Handle>) -> Result<Handle> {
     started.with_context(|| format!("cannot listen on {address}; choose another --listen"))
 }
 
-fn listing(file: Option<&PathBuf>) -> Result<Listing> {
+fn read_listing(file: Option<&PathBuf>) -> Result<Listing> {
     let Some(file) = file else {
         return Ok(Listing::default());
     };
-    let name = |what: &str, file: &Path| format!("{what} {}", file.display());
-    let text = std::fs::read_to_string(file).with_context(|| name("read", file))?;
-    serde_json::from_str(&text).with_context(|| name("understand", file))
+    let context = |action: &str, file: &Path| format!("{action} {}", file.display());
+    let text = std::fs::read_to_string(file).with_context(|| context("read", file))?;
+    serde_json::from_str(&text).with_context(|| context("understand", file))
 }
--- a/crates/ploverwick_standin/src/engine.rs
+++ b/crates/ploverwick_standin/src/engine.rs
@@ -1,8 +1,8 @@
-//! A stand-in for a model engine.
+//! A simulated model engine.
 //!
-//! It batches continuously: each step makes one token for up to `batch` runs, most urgent first.
-//! It keeps its own records of what ran and of every broken promise that it can see, and tests
-//! count from those.
+//! It uses continuous batching: each step generates one token for up to `batch` runs, in order of
+//! priority. It records every run and every violated guarantee that it can observe; tests assert on
+//! these records.
 
 mod cache;
 mod core;
@@ -21,36 +21,36 @@
 pub use cache::{CacheEvent, Change};
 pub use records::{Outcome, Records, Run, Steps};
 
-use crate::host::{self, Running, lock};
+use crate::host::{self, Handle, lock};
 use core::Core;
 
-/// The shortest interval at which runs are looked after.
-const LEAST_STEP: Duration = Duration::from_millis(1);
+/// The minimum interval between steps; applies if the configured step time is shorter or zero.
+const MIN_STEP: Duration = Duration::from_millis(1);
 
-/// How the engine behaves.
+/// The configuration of the engine.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name on the time line.
+    /// The name in the timeline.
     pub name: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// The base model that it serves.
+    /// The base model that the engine serves.
     pub base: String,
     /// The number of adapter slots.
     pub slots: u32,
-    /// The most runs computed in one step.
+    /// The maximum batch size: the number of runs computed per step.
     pub batch: u32,
-    /// How long a step takes; zero makes a run's whole answer at its start.
+    /// The duration of a step; with zero, a run generates all its tokens when it starts.
     pub step: Duration,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether orders with an old fencing token are refused.
     pub checks_tokens: bool,
-    /// How far its reports lag behind.
+    /// The age of the state that reports and cache events show.
     pub report_lag: Duration,
-    /// How long a run whose reader went away is kept for a resumption.
+    /// How long the output of a run without a reader is kept for a resumption.
     pub resume_window: Duration,
-    /// Where it loads weights from; without one a load takes `load_time`.
+    /// The address of the weight store; without one, a load takes `load_time`.
     pub store: Option<SocketAddr>,
-    /// How long a load takes without a store.
+    /// The duration of a load without a store.
     pub load_time: Duration,
 }
 
@@ -72,25 +72,25 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Loads fail.
+    /// Whether loads fail.
     pub fail_loads: bool,
-    /// This many orders are followed, and their answers are lost.
+    /// The number of orders that are carried out but whose responses are dropped.
     pub lose_order_answers: u32,
-    /// Orders are followed this much later than they arrive, in milliseconds.
+    /// The delay before an order is carried out, in milliseconds.
     pub delay_orders_ms: u64,
-    /// Answers name this adapter in place of the one that ran.
+    /// The adapter that responses name instead of the one that ran.
     pub echo_adapter: Option<String>,
-    /// This many streams break off after their second event.
+    /// The number of streams to abort after their second event.
     pub cut_streams: u32,
-    /// This many runs break off before their answer begins.
+    /// The number of run requests to abort before the response head.
     pub cut_heads: u32,
-    /// Every run is refused as not run.
+    /// Whether every run is refused as not run.
     pub refuse_runs: bool,
-    /// The engine says that it is leaving.
+    /// Whether reports say that the engine is about to shut down.
     pub leaving: bool,
 }
 
@@ -106,8 +106,8 @@
 /// Starts the engine.
 ///
 /// # Errors
-/// Fails if the address cannot be listened on.
-pub async fn start(config: Config) -> io::Result<Running> {
+/// Fails if the address cannot be bound.
+pub async fn start(config: Config) -> io::Result<Handle> {
     let address = config.address;
     host::run(address, |mut stop| {
         let engine = Arc::new(Engine {
@@ -117,10 +117,10 @@
             faults: Mutex::default(),
             client: Client::new(),
         });
-        let stepping = Arc::clone(&engine);
+        let stepper = Arc::clone(&engine);
         tokio::spawn(async move {
             tokio::select! {
-                () = stepping.steps() => {}
+                () = stepper.run_steps() => {}
                 () = stop.stopped() => {}
             }
         });
@@ -130,8 +130,8 @@
 }
 
 impl Engine {
-    async fn steps(&self) {
-        let step = self.config.step.max(LEAST_STEP);
+    async fn run_steps(&self) {
+        let step = self.config.step.max(MIN_STEP);
         let mut ticks = tokio::time::interval(step);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
--- a/crates/ploverwick_standin/src/engine/cache.rs
+++ b/crates/ploverwick_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The engine's prefix cache, and its events, which come late and with gaps.
+//! The engine's prefix cache and its event stream, which lags and has gaps.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -7,88 +7,88 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// How many prefixes the cache holds.
-const PREFIXES: usize = 64;
-/// How many events are kept.
-const EVENTS: usize = 1024;
-/// One event in this many is never shown.
+/// The capacity of the cache, in prefixes.
+const MAX_PREFIXES: usize = 64;
+/// The number of events that are retained.
+const MAX_EVENTS: usize = 1024;
+/// Every event whose number is a multiple of this is dropped, which leaves a gap.
 const GAP_EVERY: u64 = 7;
 
-/// What happened to a prefix.
+/// A change to a cached prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// It was stored.
+    /// The prefix was added.
     Stored,
-    /// It made room for another.
+    /// The prefix was evicted to make room for another.
     Evicted,
 }
 
-/// An event of the cache.
+/// A cache event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts events; a missing number is a gap.
+    /// The sequence number; a missing number is a gap.
     pub number: u64,
-    /// The prefix's hash.
+    /// The hash of the prefix.
     pub prefix: u64,
-    /// What happened.
+    /// The change.
     pub change: Change,
 }
 
-/// The cache of prompts' prefixes.
+/// A prefix cache with first-in, first-out eviction. It stores whole prompts by their hash.
 #[derive(Debug, Default)]
 pub(super) struct Cache {
-    held: VecDeque<u64>,
+    prefixes: VecDeque<u64>,
     events: VecDeque<(Instant, CacheEvent)>,
-    count: u64,
+    last_number: u64,
 }
 
 impl Cache {
-    /// Notes that a run used a prompt.
-    pub(super) fn used(&mut self, prompt: &str) {
+    /// Adds the prompt of a run, unless it is cached.
+    pub(super) fn insert(&mut self, prompt: &str) {
         let mut hasher = DefaultHasher::new();
         prompt.hash(&mut hasher);
         let prefix = hasher.finish();
-        if self.held.contains(&prefix) {
+        if self.prefixes.contains(&prefix) {
             return;
         }
-        if self.held.len() == PREFIXES
-            && let Some(oldest) = self.held.pop_front()
+        if self.prefixes.len() == MAX_PREFIXES
+            && let Some(oldest) = self.prefixes.pop_front()
         {
-            self.note(oldest, Change::Evicted);
+            self.push_event(oldest, Change::Evicted);
         }
-        self.held.push_back(prefix);
-        self.note(prefix, Change::Stored);
+        self.prefixes.push_back(prefix);
+        self.push_event(prefix, Change::Stored);
     }
 
-    fn note(&mut self, prefix: u64, change: Change) {
-        self.count += 1;
-        if self.count.is_multiple_of(GAP_EVERY) {
+    fn push_event(&mut self, prefix: u64, change: Change) {
+        self.last_number += 1;
+        if self.last_number.is_multiple_of(GAP_EVERY) {
             return;
         }
-        if self.events.len() == EVENTS {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         let event = CacheEvent {
-            number: self.count,
+            number: self.last_number,
             prefix,
             change,
         };
         self.events.push_back((Instant::now(), event));
     }
 
-    /// Lists the events after a number that are at least as old as the lag.
+    /// Returns the events numbered above `after` that are at least `lag` old.
     pub(super) fn events(&self, after: u64, lag: Duration) -> Vec<CacheEvent> {
         let now = Instant::now();
-        let late = self
+        let visible = self
             .events
             .iter()
             .filter(|(at, event)| event.number > after && now.duration_since(*at) >= lag);
-        late.map(|(_, event)| event.clone()).collect()
+        visible.map(|(_, event)| event.clone()).collect()
     }
 
-    /// Forgets everything, as a restart does.
+    /// Removes all prefixes, as a restart does. The events stay.
     pub(super) fn clear(&mut self) {
-        self.held.clear();
+        self.prefixes.clear();
     }
 }
--- a/crates/ploverwick_standin/src/engine/core.rs
+++ b/crates/ploverwick_standin/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine's state: slots, runs and steps.
+//! The state of the engine: adapter slots, runs and batching.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,35 +14,35 @@
 use super::cache::Cache;
 use super::records::{Outcome, Records, Run};
 
-/// How often the state is noted for a later report.
-const REPORT_EVERY: Duration = Duration::from_millis(20);
-/// How many reports are kept to show a late one.
-const REPORTS: usize = 256;
+/// The minimum interval between snapshots of the state for lagging reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(20);
+/// The number of report snapshots that are retained.
+const MAX_REPORTS: usize = 256;
 
-/// What a run has made so far. Readers follow it.
+/// The output of a run so far. Readers watch it.
 #[derive(Debug, Default)]
 pub(super) struct Output {
-    /// The tokens' texts.
+    /// The text of each generated token.
     pub(super) tokens: Vec<Bytes>,
-    /// How the run stands.
+    /// The outcome; `None` while the run is active.
     pub(super) outcome: Option<Outcome>,
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveRun {
     index: usize,
     variant: Variant,
     priority: u32,
     arrival: u64,
-    wanted: usize,
+    max_tokens: usize,
     output: watch::Sender<Output>,
-    /// When the last reader went away.
+    /// When the run was first seen without a reader.
     unread_since: Option<Instant>,
 }
 
-/// A request to start a run.
+/// A request to start or resume a run.
 #[derive(Debug)]
-pub(super) struct Start {
+pub(super) struct RunRequest {
     pub(super) request: String,
     pub(super) tag: String,
     pub(super) asked: String,
@@ -50,11 +50,11 @@
     pub(super) priority: u32,
     pub(super) tokens: usize,
     pub(super) prompt: String,
-    /// Whether the caller has a part of the answer already.
+    /// Whether the caller has already received a part of the response.
     pub(super) resumes: bool,
 }
 
-/// Why an order or a run is refused.
+/// The reason for refusing an order or a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refusal {
     StaleToken,
@@ -83,12 +83,12 @@
     report_lag: Duration,
     resume_window: Duration,
     incarnation: Incarnation,
-    newest_token: Token,
+    highest_token: Token,
     used: BTreeMap<Variant, SlotState>,
-    active: BTreeMap<String, Active>,
-    /// Outputs of finished runs, kept for a resumption.
+    active: BTreeMap<String, ActiveRun>,
+    /// The outputs of finished runs, kept for a resumption.
     finished: BTreeMap<String, watch::Sender<Output>>,
-    /// When they finished, oldest first.
+    /// The finish times of the runs in `finished`, oldest first.
     finish_times: VecDeque<(Instant, String)>,
     arrivals: u64,
     reports: VecDeque<(Instant, Report)>,
@@ -106,7 +106,7 @@
             report_lag: config.report_lag,
             resume_window: config.resume_window,
             incarnation: Incarnation(now_millis()),
-            newest_token: Token(0),
+            highest_token: Token(0),
             used: BTreeMap::new(),
             active: BTreeMap::new(),
             finished: BTreeMap::new(),
@@ -122,10 +122,10 @@
         self.incarnation
     }
 
-    /// Forgets slots and runs, as a restart does. The records stay.
+    /// Clears slots and runs, as a restart does. The records stay.
     pub(super) fn restart(&mut self) {
-        let life = now_millis().max(self.incarnation.0 + 1);
-        self.incarnation = Incarnation(life);
+        let next = now_millis().max(self.incarnation.0 + 1);
+        self.incarnation = Incarnation(next);
         self.used.clear();
         let runs: Vec<String> = self.active.keys().cloned().collect();
         for request in runs {
@@ -134,7 +134,7 @@
         self.finished.clear();
         self.finish_times.clear();
         self.reports.clear();
-        self.newest_token = Token(0);
+        self.highest_token = Token(0);
         self.cache.clear();
     }
 
@@ -142,15 +142,15 @@
         if !self.checks_tokens {
             return Ok(());
         }
-        if token < self.newest_token {
+        if token < self.highest_token {
             self.records.stale_orders += 1;
             return Err(Refusal::StaleToken);
         }
-        self.newest_token = token;
+        self.highest_token = token;
         Ok(())
     }
 
-    /// Starts a load; returns whether there is something to load.
+    /// Starts a load; returns `false` if the variant is already loaded or loading.
     pub(super) fn begin_load(&mut self, variant: &Variant) -> Result<bool, Refusal> {
         if self.used.contains_key(variant) {
             return Ok(false);
@@ -162,9 +162,9 @@
         Ok(true)
     }
 
-    /// Ends a load, unless the engine restarted since it began.
-    pub(super) fn end_load(&mut self, variant: &Variant, begun: Incarnation, ok: bool) {
-        if begun != self.incarnation {
+    /// Completes a load, unless the engine has restarted since the load began.
+    pub(super) fn end_load(&mut self, variant: &Variant, started_in: Incarnation, ok: bool) {
+        if started_in != self.incarnation {
             return;
         }
         if !ok {
@@ -181,59 +181,62 @@
         self.used.get(variant) == Some(&SlotState::Loaded)
     }
 
-    /// Unloads an adapter; runs that use it are lost, which is on record.
+    /// Unloads an adapter. Runs that use it are aborted, and the records count the violation.
     pub(super) fn unload(&mut self, variant: &Variant) {
         self.used.remove(variant);
-        let users: Vec<String> = self
+        let requests: Vec<String> = self
             .active
             .iter()
             .filter(|(_, run)| run.variant == *variant)
             .map(|(request, _)| request.clone())
             .collect();
-        if !users.is_empty() {
+        if !requests.is_empty() {
             self.records.unloaded_in_use += 1;
         }
-        for request in users {
+        for request in requests {
             self.end(&request, Outcome::Aborted);
         }
     }
 
-    /// Starts a run, or finds the one that is there to be resumed.
-    pub(super) fn start(&mut self, start: Start) -> Result<watch::Receiver<Output>, Refusal> {
-        if let Some(run) = self.active.get_mut(&start.request) {
+    /// Starts a run, or resumes the run with the same request identifier.
+    pub(super) fn start(
+        &mut self,
+        run_request: RunRequest,
+    ) -> Result<watch::Receiver<Output>, Refusal> {
+        if let Some(run) = self.active.get_mut(&run_request.request) {
             run.unread_since = None;
             return Ok(run.output.subscribe());
         }
-        if let Some(output) = self.finished.get(&start.request) {
+        if let Some(output) = self.finished.get(&run_request.request) {
             return Ok(output.subscribe());
         }
-        if start.resumes {
+        if run_request.resumes {
             return Err(Refusal::NothingToResume);
         }
-        if !self.is_loaded(&start.variant) {
+        if !self.is_loaded(&run_request.variant) {
             return Err(Refusal::NotLoaded);
         }
         self.arrivals += 1;
-        self.cache.used(&start.prompt);
+        self.cache.insert(&run_request.prompt);
         self.records.runs.push(Run {
-            request: start.request.clone(),
-            tag: start.tag,
-            asked: start.asked,
-            variant: start.variant.clone(),
+            request: run_request.request.clone(),
+            tag: run_request.tag,
+            asked: run_request.asked,
+            variant: run_request.variant.clone(),
             outcome: Outcome::Running,
         });
         let (output, reader) = watch::channel(Output::default());
-        let run = Active {
+        let run = ActiveRun {
             index: self.records.runs.len() - 1,
-            variant: start.variant,
-            priority: start.priority,
+            variant: run_request.variant,
+            priority: run_request.priority,
             arrival: self.arrivals,
-            wanted: start.tokens,
+            max_tokens: run_request.tokens,
             output,
             unread_since: None,
         };
-        let request = start.request.clone();
-        self.active.insert(start.request, run);
+        let request = run_request.request.clone();
+        self.active.insert(run_request.request, run);
         while self.instant && self.active.contains_key(&request) {
             self.advance(&request);
         }
@@ -257,10 +260,11 @@
         }
     }
 
-    /// Computes a step: one token for each of the most urgent runs.
+    /// Computes one step: generates a token for each of the runs with the highest priority, up to
+    /// the batch size. Runs of equal priority go in order of arrival.
     pub(super) fn step(&mut self) {
-        self.note_report();
-        self.drop_unread();
+        self.record_report();
+        self.drop_unread_runs();
         let mut order: Vec<(std::cmp::Reverse<u32>, u64, String)> = self
             .active
             .iter()
@@ -289,16 +293,16 @@
         let Some(run) = self.active.get(request) else {
             return;
         };
-        let made = run.output.borrow().tokens.len();
-        let token = Bytes::from(format!("{}:{made} ", run.variant.adapter));
+        let generated = run.output.borrow().tokens.len();
+        let token = Bytes::from(format!("{}:{generated} ", run.variant.adapter));
         run.output.send_modify(|output| output.tokens.push(token));
-        if made + 1 >= run.wanted {
+        if generated + 1 >= run.max_tokens {
             self.end(request, Outcome::Finished);
         }
     }
 
-    /// Cancels runs whose readers have stayed away too long.
-    fn drop_unread(&mut self) {
+    /// Discards finished outputs and cancels runs without a reader after the resume window.
+    fn drop_unread_runs(&mut self) {
         let now = Instant::now();
         let window = self.resume_window;
         while let Some((at, _)) = self.finish_times.front()
@@ -308,7 +312,7 @@
                 self.finished.remove(&request);
             }
         }
-        let mut left = Vec::new();
+        let mut abandoned = Vec::new();
         for (request, run) in &mut self.active {
             if run.output.receiver_count() > 0 {
                 run.unread_since = None;
@@ -316,43 +320,43 @@
             }
             let since = *run.unread_since.get_or_insert(now);
             if now.duration_since(since) >= self.resume_window {
-                left.push(request.clone());
+                abandoned.push(request.clone());
             }
         }
-        for request in left {
+        for request in abandoned {
             self.cancel(&request);
         }
     }
 
-    fn note_report(&mut self) {
+    fn record_report(&mut self) {
         let now = Instant::now();
         let newest = self.reports.back();
-        if newest.is_some_and(|(at, _)| now.duration_since(*at) < REPORT_EVERY) {
+        if newest.is_some_and(|(at, _)| now.duration_since(*at) < REPORT_INTERVAL) {
             return;
         }
-        if self.reports.len() == REPORTS {
+        if self.reports.len() == MAX_REPORTS {
             self.reports.pop_front();
         }
         let report = self.report_now();
         self.reports.push_back((Instant::now(), report));
     }
 
-    /// Returns a report as old as the lag, or the oldest there is.
+    /// Returns the newest report that is at least as old as the lag, or else the oldest one.
     pub(super) fn report(&self) -> Report {
         let now = Instant::now();
-        let late = self
+        let lagged = self
             .reports
             .iter()
             .rev()
             .find(|(at, _)| now.duration_since(*at) >= self.report_lag)
             .or_else(|| self.reports.front());
-        late.map_or_else(|| self.report_now(), |(_, report)| report.clone())
+        lagged.map_or_else(|| self.report_now(), |(_, report)| report.clone())
     }
 
     fn report_now(&self) -> Report {
         let running = |variant: &Variant| {
-            let users = self.active.values().filter(|run| run.variant == *variant);
-            u32::try_from(users.count()).unwrap_or(u32::MAX)
+            let requests = self.active.values().filter(|run| run.variant == *variant);
+            u32::try_from(requests.count()).unwrap_or(u32::MAX)
         };
         let used = self.used.iter().map(|(variant, state)| Slot {
             variant: variant.clone(),
--- a/crates/ploverwick_standin/src/engine/http.rs
+++ b/crates/ploverwick_standin/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP face.
+//! The HTTP API of the engine.
 
 use std::io;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 use serde::Deserialize;
 use tokio::sync::{mpsc, watch};
 
-use super::core::{Output, Refusal, Start};
+use super::core::{Output, Refusal, RunRequest};
 use super::{Engine, Outcome};
-use crate::host::{self, Asked, lock};
+use crate::host::{self, Route, lock};
 
-const DEFAULT_TOKENS: usize = 16;
+const DEFAULT_MAX_TOKENS: usize = 16;
 const MAX_TOKENS: usize = 100_000;
-const STREAM_BUFFER: usize = 64;
-const CUT_AFTER: usize = 2;
-/// How long sent events take to leave the process, by far.
-const FLUSH: Duration = Duration::from_millis(100);
-const LOAD_PATIENCE: Duration = Duration::from_mins(1);
+const STREAM_BUFFER_EVENTS: usize = 64;
+const CUT_AFTER_EVENTS: usize = 2;
+/// A generous bound on the time until sent events have left the process.
+const FLUSH_DELAY: Duration = Duration::from_millis(100);
+const LOAD_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// What the engine reads of a request's body.
+/// The fields of a completion request that the engine uses.
 #[derive(Debug, Deserialize)]
-struct Ask {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     max_tokens: Option<usize>,
@@ -43,14 +43,14 @@
 
 impl Handler for Engine {
     async fn handle(&self, request: Request<Incoming>) -> io::Result<Reply> {
-        let request = match host::common(request, &self.recorder, &self.faults).await? {
-            Asked::Answered(reply) => return Ok(reply),
-            Asked::Own(request) => request,
+        let request = match host::handle_common(request, &self.recorder, &self.faults).await? {
+            Route::Handled(reply) => return Ok(reply),
+            Route::Specific(request) => request,
         };
         match (request.method().clone(), request.uri().path()) {
             (Method::GET, "/report") => Ok(self.report()),
             (Method::GET, "/cache/events") => {
-                let after = host::parameter(&request, "after").unwrap_or_default();
+                let after = host::query_parameter(&request, "after").unwrap_or_default();
                 let lag = self.config.report_lag;
                 Ok(json(
                     StatusCode::OK,
@@ -65,11 +65,11 @@
                 self.recorder.record(Event::new(Kind::Fault, "restart"));
                 Ok(json(StatusCode::OK, &serde_json::json!({})))
             }
-            (Method::POST, "/orders/load") => self.load(host::argument(request).await?).await,
-            (Method::POST, "/orders/unload") => self.unload(host::argument(request).await?).await,
-            (Method::POST, "/orders/fence") => self.fence(&host::argument(request).await?),
+            (Method::POST, "/orders/load") => self.load(host::read_json(request).await?).await,
+            (Method::POST, "/orders/unload") => self.unload(host::read_json(request).await?).await,
+            (Method::POST, "/orders/fence") => self.fence(&host::read_json(request).await?),
             (Method::POST, "/cancel") => {
-                let cancel: Cancel = host::argument(request).await?;
+                let cancel: Cancel = host::read_json(request).await?;
                 lock(&self.core).cancel(&cancel.request);
                 Ok(json(StatusCode::OK, &()))
             }
@@ -86,11 +86,11 @@
         json(StatusCode::OK, &report)
     }
 
-    fn followed(&self) -> io::Result<Reply> {
+    fn acknowledge(&self) -> io::Result<Reply> {
         let mut faults = lock(&self.faults);
         if faults.lose_order_answers > 0 {
             faults.lose_order_answers -= 1;
-            return Err(io::Error::other("the answer is lost"));
+            return Err(io::Error::other("injected fault: response dropped"));
         }
         let incarnation = lock(&self.core).incarnation();
         Ok(json(StatusCode::OK, &OrderAck { incarnation }))
@@ -106,32 +106,32 @@
         let Some(variant) = order.variant else {
             return Ok(text(StatusCode::BAD_REQUEST, "no adapter\n"));
         };
-        let (begun, begins) = {
+        let (started_in, started) = {
             let mut core = lock(&self.core);
             let checked = core.check_token(order.token);
-            let begins = checked.and_then(|()| core.begin_load(&variant));
-            (core.incarnation(), begins)
+            let started = checked.and_then(|()| core.begin_load(&variant));
+            (core.incarnation(), started)
         };
-        match begins {
-            Err(refusal) => return Ok(refused(refusal)),
-            Ok(false) => return self.followed(),
+        match started {
+            Err(refusal) => return Ok(refusal_response(refusal)),
+            Ok(false) => return self.acknowledge(),
             Ok(true) => {}
         }
-        self.note(
+        self.record_event(
             Kind::Load,
             &format!("load begins, token {}", order.token),
             &variant,
         );
         let ok = !lock(&self.faults).fail_loads && self.fetch(&variant).await;
-        lock(&self.core).end_load(&variant, begun, ok);
-        self.note(Kind::Load, &format!("load ends, ok={ok}"), &variant);
+        lock(&self.core).end_load(&variant, started_in, ok);
+        self.record_event(Kind::Load, &format!("load ends, ok={ok}"), &variant);
         if ok {
-            return self.followed();
+            return self.acknowledge();
         }
         Ok(text(StatusCode::SERVICE_UNAVAILABLE, "load failed\n"))
     }
 
-    /// Fetches weights from the store, or waits the load time without one.
+    /// Fetches the weights from the store; without a store, waits for `load_time`.
     async fn fetch(&self, variant: &Variant) -> bool {
         let Some(store) = self.config.store else {
             tokio::time::sleep(self.config.load_time).await;
@@ -143,7 +143,7 @@
             store,
             &path,
             None,
-            LOAD_PATIENCE,
+            LOAD_TIMEOUT,
         );
         fetched.await.is_ok()
     }
@@ -156,27 +156,27 @@
         {
             let mut core = lock(&self.core);
             if let Err(refusal) = core.check_token(order.token) {
-                return Ok(refused(refusal));
+                return Ok(refusal_response(refusal));
             }
             core.unload(&variant);
         }
-        self.note(
+        self.record_event(
             Kind::Load,
             &format!("unloaded, token {}", order.token),
             &variant,
         );
-        self.followed()
+        self.acknowledge()
     }
 
     fn fence(&self, order: &Order) -> io::Result<Reply> {
         let checked = lock(&self.core).check_token(order.token);
         match checked {
-            Ok(()) => self.followed(),
-            Err(refusal) => Ok(refused(refusal)),
+            Ok(()) => self.acknowledge(),
+            Err(refusal) => Ok(refusal_response(refusal)),
         }
     }
 
-    fn note(&self, kind: Kind, what: &str, variant: &Variant) {
+    fn record_event(&self, kind: Kind, what: &str, variant: &Variant) {
         let event = Event::new(kind, format!("{what} ({variant})"));
         self.recorder.record(event.adapter(&variant.adapter));
     }
@@ -189,56 +189,58 @@
             self.recorder.clock().observe(Stamp(stamp));
         }
         let id = text_of(header::REQUEST).unwrap_or_default().to_owned();
-        let ask: Ask = host::argument(request).await?;
-        let Ok(model) = ask.model.parse::<Model>() else {
+        let completion: CompletionRequest = host::read_json(request).await?;
+        let Ok(model) = completion.model.parse::<Model>() else {
             return Ok(text(StatusCode::BAD_REQUEST, "bad model\n"));
         };
         let Some(version) = model.version.clone() else {
             return Ok(text(StatusCode::BAD_REQUEST, "no version\n"));
         };
-        if self.takes(|faults| &mut faults.cut_heads) {
-            return Err(io::Error::other("cut before the head"));
+        if self.consume_fault(|faults| &mut faults.cut_heads) {
+            return Err(io::Error::other(
+                "injected fault: aborted before the response head",
+            ));
         }
-        let start = Start {
+        let run_request = RunRequest {
             request: id.clone(),
-            tag: ask.user,
-            prompt: ask.prompt,
-            asked: ask.model,
+            tag: completion.user,
+            prompt: completion.prompt,
+            asked: completion.model,
             variant: Variant {
                 adapter: model.adapter.clone(),
                 version,
             },
             priority: u32::try_from(number(header::PRIORITY).unwrap_or_default()).unwrap_or(0),
             resumes: number(header::LAST_EVENT_ID).unwrap_or_default() > 0,
-            tokens: ask
+            tokens: completion
                 .max_tokens
-                .unwrap_or(DEFAULT_TOKENS)
+                .unwrap_or(DEFAULT_MAX_TOKENS)
                 .clamp(1, MAX_TOKENS),
         };
         let token = Token(number(header::FENCING_TOKEN).unwrap_or_default());
-        let output = match self.begin(start, token, &model) {
+        let output = match self.start_run(run_request, token, &model) {
             Ok(output) => output,
-            Err(refusal) => return Ok(refused(refusal)),
+            Err(refusal) => return Ok(refusal_response(refusal)),
         };
-        let echoed = self.echo(&model);
-        let mut reply = if ask.stream {
+        let reported_model = self.reported_model(&model);
+        let mut reply = if completion.stream {
             let after = number(header::LAST_EVENT_ID).unwrap_or_default();
-            self.stream(output, id, echoed.clone(), after)
+            self.stream(output, id, reported_model.clone(), after)
         } else {
-            whole(output, &id, &echoed).await?
+            complete_response(output, &id, &reported_model).await?
         };
         let incarnation = lock(&self.core).incarnation().0;
         let headers = reply.headers_mut();
         headers.insert(header::INCARNATION, incarnation.into());
-        if let Ok(value) = HeaderValue::from_str(&echoed) {
+        if let Ok(value) = HeaderValue::from_str(&reported_model) {
             headers.insert(header::MODEL, value);
         }
         Ok(reply)
     }
 
-    fn begin(
+    fn start_run(
         &self,
-        start: Start,
+        run_request: RunRequest,
         token: Token,
         model: &Model,
     ) -> Result<watch::Receiver<Output>, Refusal> {
@@ -246,24 +248,24 @@
             return Err(Refusal::NotLoaded);
         }
         let event = Event::new(Kind::Attempt, format!("run asked, token {token}"));
-        let event = match start.request.clone().try_into() {
+        let event = match run_request.request.clone().try_into() {
             Ok(request) => event.request(&request),
             Err(_) => event,
         };
         self.recorder.record(event.adapter(&model.adapter));
-        lock(&self.core).start(start)
+        lock(&self.core).start(run_request)
     }
 
-    /// Counts a fault down; returns whether it strikes.
-    fn takes(&self, counter: impl FnOnce(&mut super::Faults) -> &mut u32) -> bool {
+    /// Decrements the counter of a fault; returns whether the fault applies to this call.
+    fn consume_fault(&self, counter: impl FnOnce(&mut super::Faults) -> &mut u32) -> bool {
         let mut faults = lock(&self.faults);
-        let left = counter(&mut faults);
-        let strikes = *left > 0;
-        *left = left.saturating_sub(1);
-        strikes
+        let count = counter(&mut faults);
+        let applies = *count > 0;
+        *count = count.saturating_sub(1);
+        applies
     }
 
-    fn echo(&self, model: &Model) -> String {
+    fn reported_model(&self, model: &Model) -> String {
         match &lock(&self.faults).echo_adapter {
             Some(adapter) => format!("{}:{adapter}@v0", model.base),
             None => model.to_string(),
@@ -277,15 +279,15 @@
         model: String,
         after: u64,
     ) -> Reply {
-        let cut = self.takes(|faults| &mut faults.cut_streams);
-        let (sender, parts) = mpsc::channel(STREAM_BUFFER);
+        let cut = self.consume_fault(|faults| &mut faults.cut_streams);
+        let (sender, parts) = mpsc::channel(STREAM_BUFFER_EVENTS);
         let skip = usize::try_from(after).unwrap_or(usize::MAX);
-        tokio::spawn(follow(output, sender, id, model, skip, cut));
+        tokio::spawn(send_events(output, sender, id, model, skip, cut));
         stream(StatusCode::OK, "text/event-stream", parts)
     }
 }
 
-fn refused(refusal: Refusal) -> Reply {
+fn refusal_response(refusal: Refusal) -> Reply {
     let body = serde_json::json!({"error": refusal.name()});
     let mut reply = json(StatusCode::CONFLICT, &body);
     reply
@@ -294,8 +296,8 @@
     reply
 }
 
-/// Sends a run's events as they are made, from the one after `skip` on.
-async fn follow(
+/// Sends the events of a run as its tokens are generated, starting after the first `skip` events.
+async fn send_events(
     mut output: watch::Receiver<Output>,
     sender: mpsc::Sender<Result<Bytes, io::Error>>,
     id: String,
@@ -312,10 +314,12 @@
                 return;
             }
         }
-        if cut && sent >= CUT_AFTER {
-            // The events before the cut are to arrive: an error right behind them drops them.
-            tokio::time::sleep(FLUSH).await;
-            let _ = sender.send(Err(io::Error::other("cut"))).await;
+        if cut && sent >= CUT_AFTER_EVENTS {
+            // An error sent right after the events would discard them before they are flushed.
+            tokio::time::sleep(FLUSH_DELAY).await;
+            let _ = sender
+                .send(Err(io::Error::other("injected fault: stream aborted")))
+                .await;
             return;
         }
         match outcome {
@@ -326,17 +330,17 @@
             }
             Some(_) => {
                 let _ = sender
-                    .send(Err(io::Error::other("the run broke off")))
+                    .send(Err(io::Error::other("the run did not finish")))
                     .await;
                 return;
             }
             None => {}
         }
-        let gone = tokio::select! {
+        let disconnected = tokio::select! {
             changed = output.changed() => changed.is_err(),
             () = sender.closed() => true,
         };
-        if gone {
+        if disconnected {
             return;
         }
     }
@@ -348,8 +352,8 @@
     id: &str,
     model: &str,
 ) -> (Vec<Bytes>, Option<Outcome>) {
-    let fresh = output.tokens.iter().enumerate().skip(sent);
-    let events = fresh.map(|(index, token)| {
+    let new_tokens = output.tokens.iter().enumerate().skip(sent);
+    let events = new_tokens.map(|(index, token)| {
         let text = String::from_utf8_lossy(token);
         let data = serde_json::json!({
             "id": id, "object": "text_completion", "model": model,
@@ -360,12 +364,16 @@
     (events.collect(), output.outcome)
 }
 
-/// Waits for a run to finish and answers with its whole text.
-async fn whole(mut output: watch::Receiver<Output>, id: &str, model: &str) -> io::Result<Reply> {
+/// Waits until a run has finished and returns a response with its whole text.
+async fn complete_response(
+    mut output: watch::Receiver<Output>,
+    id: &str,
+    model: &str,
+) -> io::Result<Reply> {
     let ended = output.wait_for(|output| output.outcome.is_some()).await;
     let output = ended.map_err(io::Error::other)?;
     if output.outcome != Some(Outcome::Finished) {
-        return Err(io::Error::other("the run broke off"));
+        return Err(io::Error::other("the run did not finish"));
     }
     let text: String = output
         .tokens
--- a/crates/ploverwick_standin/src/engine/records.rs
+++ b/crates/ploverwick_standin/src/engine/records.rs
@@ -1,61 +1,61 @@
-//! What an engine remembers of its work, for tests to count from.
+//! Records of an engine's runs and violations, which tests assert on.
 
 use std::collections::BTreeMap;
 
 use ploverwick_names::Variant;
 use serde::{Deserialize, Serialize};
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It is still running.
+    /// The run is active.
     Running,
-    /// Every token was made.
+    /// All tokens were generated.
     Finished,
-    /// It was cancelled, or its reader stayed away.
+    /// The run was cancelled, or had no reader for the resume window.
     Cancelled,
-    /// Its adapter was unloaded under it.
+    /// The adapter was unloaded during the run.
     Aborted,
 }
 
-/// A run of a request.
+/// The record of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// The request's identifier.
     pub request: String,
-    /// The caller's own name for the work: the body's `user`.
+    /// The caller's identifier of the work: the field `user` of the request body.
     pub tag: String,
-    /// The model that the body asked for.
+    /// The model requested in the body.
     pub asked: String,
-    /// What it ran on.
+    /// The adapter and version that the run used.
     pub variant: Variant,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
-/// How full the steps were.
+/// Batch utilization.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Steps {
-    /// Steps that computed at least one run.
+    /// The number of steps that computed at least one run.
     pub busy: u64,
-    /// Runs computed, summed over the steps.
+    /// The number of runs computed, summed over the busy steps.
     pub computed: u64,
-    /// The room of the busy steps, summed.
+    /// The batch capacity, summed over the busy steps.
     pub room: u64,
 }
 
-/// An engine's records.
+/// The records of an engine. They survive a simulated restart.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Records {
-    /// Every run in the order of their start.
+    /// All runs, in the order in which they started.
     pub runs: Vec<Run>,
-    /// How often an adapter was unloaded under a running request.
+    /// The number of unloads of an adapter that had running requests.
     pub unloaded_in_use: u64,
-    /// How often each adapter was loaded.
+    /// The number of loads of each adapter and version.
     pub loads: BTreeMap<String, u64>,
-    /// How many orders were refused for an old token.
+    /// The number of orders refused because of an old fencing token.
     pub stale_orders: u64,
-    /// How full the steps were.
+    /// Batch utilization.
     pub steps: Steps,
 }
--- a/crates/ploverwick_standin/src/host.rs
+++ b/crates/ploverwick_standin/src/host.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins share: a server, a time line, and faults.
+//! The parts that all stand-ins share: an HTTP server, a timeline and fault injection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,151 +17,151 @@
 use serde::de::DeserializeOwned;
 use tokio::net::TcpListener;
 
-const EVENTS: usize = 16384;
-const MAX_BODY: usize = 64 << 20;
+const MAX_EVENTS: usize = 16384;
+const MAX_BODY_BYTES: usize = 64 << 20;
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A stand-in that runs until it is dropped.
+/// A handle to a running stand-in, which stops when the handle is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct Handle {
     address: SocketAddr,
-    stopper: StopGuard,
+    stop_guard: StopGuard,
     server: Server,
 }
 
-impl Running {
+impl Handle {
     /// Returns the address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops the stand-in and waits until its connections are over.
+    /// Stops the stand-in and waits until its connections are closed.
     pub async fn stop(self) {
-        drop(self.stopper);
+        drop(self.stop_guard);
         self.server.finished().await;
     }
 }
 
-/// Listens on `address` and serves `handler`.
+/// Listens on `address` and serves the handler that `make_handler` returns.
 pub(crate) async fn run<H: Handler>(
     address: SocketAddr,
-    make: impl FnOnce(StopSignal) -> Arc<H>,
-) -> io::Result<Running> {
+    make_handler: impl FnOnce(StopSignal) -> Arc<H>,
+) -> io::Result<Handle> {
     let listener = TcpListener::bind(address).await?;
-    let (stopper, stop) = stop_channel();
-    let handler = make(stop.clone());
+    let (stop_guard, stop) = stop_channel();
+    let handler = make_handler(stop.clone());
     let server = Server::start(listener, handler, Bounds::default(), stop)?;
-    Ok(Running {
+    Ok(Handle {
         address: server.address(),
-        stopper,
+        stop_guard,
         server,
     })
 }
 
-/// Starts the time line of a stand-in.
+/// Creates the timeline recorder of a stand-in.
 pub(crate) fn recorder(name: &str) -> Recorder {
-    Recorder::new(name, EVENTS)
+    Recorder::new(name, MAX_EVENTS)
 }
 
-/// What is left of a request after the paths that every stand-in has.
-pub(crate) enum Asked {
-    /// It was for such a path, and this is the answer.
-    Answered(Reply),
-    /// It is for the stand-in itself.
-    Own(Request<Incoming>),
+/// The result of [`handle_common`].
+pub(crate) enum Route {
+    /// The path is common to all stand-ins, and this is the response.
+    Handled(Reply),
+    /// The path is specific to the stand-in.
+    Specific(Request<Incoming>),
 }
 
-/// Answers the paths that every stand-in has.
-pub(crate) async fn common<F: DeserializeOwned + Serialize>(
+/// Handles the paths that are common to all stand-ins.
+pub(crate) async fn handle_common<F: DeserializeOwned + Serialize>(
     request: Request<Incoming>,
     recorder: &Recorder,
     faults: &Mutex<F>,
-) -> io::Result<Asked> {
+) -> io::Result<Route> {
     let reply = match (request.method().as_str(), request.uri().path()) {
         ("GET", "/timeline") => {
-            let after = parameter(&request, "after").unwrap_or_default();
+            let after = query_parameter(&request, "after").unwrap_or_default();
             json(StatusCode::OK, &recorder.since(Stamp(after)))
         }
         ("GET", "/faults") => json(StatusCode::OK, &*lock(faults)),
-        ("PUT", "/faults") => set_faults(&body(request).await?, recorder, faults),
-        _ => return Ok(Asked::Own(request)),
+        ("PUT", "/faults") => set_faults(&read_body(request).await?, recorder, faults),
+        _ => return Ok(Route::Specific(request)),
     };
-    Ok(Asked::Answered(reply))
+    Ok(Route::Handled(reply))
 }
 
 fn set_faults<F: DeserializeOwned>(body: &Bytes, recorder: &Recorder, faults: &Mutex<F>) -> Reply {
     match serde_json::from_slice::<F>(body) {
         Ok(new) => {
             *lock(faults) = new;
-            let shown = String::from_utf8_lossy(body).into_owned();
-            recorder.record(Event::new(Kind::Fault, shown));
+            let description = String::from_utf8_lossy(body).into_owned();
+            recorder.record(Event::new(Kind::Fault, description));
             json(StatusCode::OK, &serde_json::json!({}))
         }
         Err(error) => text(StatusCode::BAD_REQUEST, format!("faults: {error}\n")),
     }
 }
 
-/// Reads a request's body.
-pub(crate) async fn body(request: Request<Incoming>) -> io::Result<Bytes> {
-    let read = ploverwick_serve::read_body(request.into_body(), MAX_BODY, BODY_TIMEOUT);
+/// Reads the body of a request.
+pub(crate) async fn read_body(request: Request<Incoming>) -> io::Result<Bytes> {
+    let read = ploverwick_serve::read_body(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT);
     read.await
         .map_err(|error| io::Error::other(format!("{error:?}")))
 }
 
-/// Reads a request's body as JSON.
-pub(crate) async fn argument<T: DeserializeOwned>(request: Request<Incoming>) -> io::Result<T> {
-    let body = body(request).await?;
+/// Reads the body of a request as JSON.
+pub(crate) async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> io::Result<T> {
+    let body = read_body(request).await?;
     serde_json::from_slice(&body).map_err(io::Error::other)
 }
 
-/// Reads a number in the query, such as `from=12`.
-pub(crate) fn parameter(request: &Request<Incoming>, name: &str) -> Option<u64> {
+/// Returns a numeric query parameter, such as `from=12`.
+pub(crate) fn query_parameter(request: &Request<Incoming>, name: &str) -> Option<u64> {
     let query = request.uri().query()?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.into_iter().find(|(key, _)| *key == name)?;
     value.parse().ok()
 }
 
-/// Answers a path that the stand-in does not have.
+/// Returns the response to an unknown path.
 pub(crate) fn unknown_path() -> Reply {
     text(StatusCode::NOT_FOUND, "no such path\n")
 }
 
-/// Takes a lock; the stand-ins' data stay whole even if a holder panicked.
+/// Locks a mutex. A poisoned mutex is used as is: no critical section leaves its data inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A token bucket on the real clock.
+/// A token bucket on the monotonic clock.
 #[derive(Debug)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
-    level: f64,
-    at: tokio::time::Instant,
+    tokens: f64,
+    refilled_at: tokio::time::Instant,
 }
 
-impl Bucket {
-    /// Makes a full bucket of `rate` tokens a second that holds at most `burst`.
+impl TokenBucket {
+    /// Creates a full bucket that refills at `rate` tokens per second and holds at most `burst`.
     pub(crate) fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
             burst,
-            level: burst,
-            at: tokio::time::Instant::now(),
+            tokens: burst,
+            refilled_at: tokio::time::Instant::now(),
         }
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token; returns whether one was available.
     pub(crate) fn take(&mut self) -> bool {
         let now = tokio::time::Instant::now();
-        let refill = now.duration_since(self.at).as_secs_f64() * self.rate;
-        self.level = (self.level + refill).min(self.burst);
-        self.at = now;
-        let has = self.level >= 1.0;
-        if has {
-            self.level -= 1.0;
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + refill).min(self.burst);
+        self.refilled_at = now;
+        let available = self.tokens >= 1.0;
+        if available {
+            self.tokens -= 1.0;
         }
-        has
+        available
     }
 }
--- a/crates/ploverwick_standin/src/lib.rs
+++ b/crates/ploverwick_standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the platform and the endpoints.
+//! Stand-ins: simulated platform services and endpoints.
 //!
-//! Each is a process of its own (`ploverwick-standin`) and can also be embedded. Each serves
-//! `GET /timeline`, and takes faults over `PUT /faults`. What they model is stated in
-//! `docs/STANDINS.md`; they are for tests, demonstrations and measurements only.
+//! Each stand-in can run as its own process (`ploverwick-standin`) or be embedded. Each serves its
+//! timeline at `GET /timeline` and accepts fault injection over `PUT /faults`. `docs/STANDINS.md`
+//! describes what they model. They are for tests, demonstrations and benchmarks only.
 
 pub mod engine;
 mod host;
@@ -11,4 +11,4 @@
 pub mod service;
 pub mod store;
 
-pub use host::Running;
+pub use host::Handle;
--- a/crates/ploverwick_standin/src/log.rs
+++ b/crates/ploverwick_standin/src/log.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's append-only log.
+//! A simulated append-only log of the platform.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -16,23 +16,23 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::host::{self, Asked, Bucket, Running, lock};
+use crate::host::{self, Handle, Route, TokenBucket, lock};
 
 const MAX_WAIT: Duration = Duration::from_secs(30);
-const READ_MAX: usize = 4096;
+const MAX_READ_RECORDS: usize = 4096;
 
-/// How the log behaves.
+/// The configuration of the log.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name on the time line.
+    /// The name in the timeline.
     pub name: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// The most appends a second.
+    /// The maximum number of appends per second.
     pub appends_per_s: f64,
-    /// How long an append takes.
+    /// The duration of an append.
     pub append_time: Duration,
-    /// How long records are kept.
+    /// The retention time of records.
     pub retention: Duration,
 }
 
@@ -48,27 +48,28 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Whether every call is refused.
     pub outage: bool,
-    /// This many appends take effect, and their answers are lost.
+    /// The number of appends that take effect but whose responses are dropped.
     pub lose_answers: u32,
-    /// Every call takes this much longer, in milliseconds.
+    /// The extra duration of each call, in milliseconds.
     pub slow_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct Stream {
-    first: u64,
+    /// The number of expired records; the first retained offset is one higher.
+    expired: u64,
     records: VecDeque<Record>,
 }
 
 impl Stream {
     fn next(&self) -> Offset {
-        Offset(self.first + self.records.len() as u64 + 1)
+        Offset(self.expired + self.records.len() as u64 + 1)
     }
 
     fn expire(&mut self, before_ms: u64) {
@@ -78,7 +79,7 @@
             .is_some_and(|record| record.at_ms < before_ms)
         {
             self.records.pop_front();
-            self.first += 1;
+            self.expired += 1;
         }
     }
 }
@@ -89,23 +90,23 @@
     recorder: Recorder,
     faults: Mutex<Faults>,
     streams: Mutex<HashMap<String, Stream>>,
-    bucket: Mutex<Bucket>,
-    /// Counts appends; its changes wake readers that wait.
+    bucket: Mutex<TokenBucket>,
+    /// The number of appends. Waiting readers watch it for changes.
     appends: watch::Sender<u64>,
 }
 
-/// Counts of what the log has done.
+/// Statistics of the log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Stats {
-    /// The appends that took effect.
+    /// The number of appends that took effect.
     pub appends: u64,
 }
 
 /// Starts the log.
 ///
 /// # Errors
-/// Fails if the address cannot be listened on.
-pub async fn start(config: Config) -> io::Result<Running> {
+/// Fails if the address cannot be bound.
+pub async fn start(config: Config) -> io::Result<Handle> {
     let address = config.address;
     host::run(address, |_| {
         let rate = config.appends_per_s;
@@ -114,7 +115,7 @@
             config,
             faults: Mutex::default(),
             streams: Mutex::default(),
-            bucket: Mutex::new(Bucket::new(rate, rate)),
+            bucket: Mutex::new(TokenBucket::new(rate, rate)),
             appends: watch::Sender::new(0),
         })
     })
@@ -123,9 +124,9 @@
 
 impl Handler for Log {
     async fn handle(&self, request: Request<Incoming>) -> io::Result<Reply> {
-        let request = match host::common(request, &self.recorder, &self.faults).await? {
-            Asked::Answered(reply) => return Ok(reply),
-            Asked::Own(request) => request,
+        let request = match host::handle_common(request, &self.recorder, &self.faults).await? {
+            Route::Handled(reply) => return Ok(reply),
+            Route::Specific(request) => request,
         };
         let faults = lock(&self.faults).clone();
         if faults.outage {
@@ -148,14 +149,14 @@
 
 impl Log {
     async fn append(&self, stream: &str, request: Request<Incoming>) -> io::Result<Reply> {
-        let append: Append = host::argument(request).await?;
+        let append: Append = host::read_json(request).await?;
         if !lock(&self.bucket).take() {
             return Ok(text(StatusCode::TOO_MANY_REQUESTS, "too many appends\n"));
         }
         tokio::time::sleep(self.config.append_time).await;
         let first = self.store(stream, append.records);
-        if self.loses_answer() {
-            return Err(io::Error::other("the answer is lost"));
+        if self.consume_response_fault() {
+            return Err(io::Error::other("injected fault: response dropped"));
         }
         Ok(json(StatusCode::OK, &Appended { first }))
     }
@@ -177,16 +178,16 @@
         first
     }
 
-    fn loses_answer(&self) -> bool {
+    fn consume_response_fault(&self) -> bool {
         let mut faults = lock(&self.faults);
-        let loses = faults.lose_answers > 0;
+        let applies = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
-        loses
+        applies
     }
 
     async fn read(&self, stream: &str, request: &Request<Incoming>) -> Reply {
-        let from = Offset(host::parameter(request, "from").unwrap_or(1));
-        let wait = host::parameter(request, "wait_ms").unwrap_or_default();
+        let from = Offset(host::query_parameter(request, "from").unwrap_or(1));
+        let wait = host::query_parameter(request, "wait_ms").unwrap_or_default();
         let wait = Duration::from_millis(wait).min(MAX_WAIT);
         let deadline = tokio::time::Instant::now() + wait;
         let mut appends = self.appends.subscribe();
@@ -208,15 +209,15 @@
         let stream = streams.entry(stream.to_owned()).or_default();
         let retention = u64::try_from(self.config.retention.as_millis()).unwrap_or(u64::MAX);
         stream.expire(now_millis().saturating_sub(retention));
-        let skip = usize::try_from(from.0.saturating_sub(stream.first + 1)).unwrap_or(usize::MAX);
+        let skip = usize::try_from(from.0.saturating_sub(stream.expired + 1)).unwrap_or(usize::MAX);
         Batch {
-            start: Offset(stream.first + 1),
+            start: Offset(stream.expired + 1),
             next: stream.next(),
             records: stream
                 .records
                 .iter()
                 .skip(skip)
-                .take(READ_MAX)
+                .take(MAX_READ_RECORDS)
                 .cloned()
                 .collect(),
         }
--- a/crates/ploverwick_standin/src/roster.rs
+++ b/crates/ploverwick_standin/src/roster.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the platform's list of instances, which lags.
+//! A simulated platform roster, whose listing lags behind changes.
 //!
-//! `PUT /listing` replaces the list, as the platform would on a change; `GET /roster` shows the
-//! list as it was a while ago.
+//! `PUT /listing` replaces the listing, as the platform would on a change; `GET /roster` returns the
+//! listing as it was before the configured lag.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -19,26 +19,26 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::host::{self, Asked, Running, lock};
+use crate::host::{self, Handle, Route, lock};
 
-/// How the list behaves.
+/// The configuration of the roster.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name on the time line.
+    /// The name in the timeline.
     pub name: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// How long a change takes to show.
+    /// The delay until a change becomes visible.
     pub lag: Duration,
-    /// The list at the start, which shows at once.
+    /// The initial listing, which is visible at once.
     pub listing: Listing,
 }
 
-/// Faults that can be switched on.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Whether every call is refused.
     pub outage: bool,
 }
 
@@ -47,20 +47,21 @@
     lag: Duration,
     recorder: Recorder,
     faults: Mutex<Faults>,
-    shown: Mutex<VecDeque<(Instant, Listing)>>,
+    /// The listings by the time from which they are visible, oldest first.
+    listings: Mutex<VecDeque<(Instant, Listing)>>,
 }
 
-/// Starts the list.
+/// Starts the roster.
 ///
 /// # Errors
-/// Fails if the address cannot be listened on.
-pub async fn start(config: Config) -> io::Result<Running> {
+/// Fails if the address cannot be bound.
+pub async fn start(config: Config) -> io::Result<Handle> {
     host::run(config.address, |_| {
         Arc::new(Roster {
             lag: config.lag,
             recorder: host::recorder(&config.name),
             faults: Mutex::default(),
-            shown: Mutex::new(VecDeque::from([(Instant::now(), config.listing)])),
+            listings: Mutex::new(VecDeque::from([(Instant::now(), config.listing)])),
         })
     })
     .await
@@ -68,18 +69,18 @@
 
 impl Handler for Roster {
     async fn handle(&self, request: Request<Incoming>) -> io::Result<Reply> {
-        let request = match host::common(request, &self.recorder, &self.faults).await? {
-            Asked::Answered(reply) => return Ok(reply),
-            Asked::Own(request) => request,
+        let request = match host::handle_common(request, &self.recorder, &self.faults).await? {
+            Route::Handled(reply) => return Ok(reply),
+            Route::Specific(request) => request,
         };
         if lock(&self.faults).outage {
             return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "outage\n"));
         }
         match (request.method().clone(), request.uri().path()) {
-            (Method::GET, "/roster") => Ok(self.show_changed(&request)),
+            (Method::GET, "/roster") => Ok(self.conditional_listing(&request)),
             (Method::PUT, "/listing") => {
-                let listing: Listing = host::argument(request).await?;
-                Ok(self.change(listing))
+                let listing: Listing = host::read_json(request).await?;
+                Ok(self.replace(listing))
             }
             _ => Ok(host::unknown_path()),
         }
@@ -87,46 +88,46 @@
 }
 
 impl Roster {
-    /// Shows the list, or that it is still the one that the reader has.
-    fn show_changed(&self, request: &Request<Incoming>) -> Reply {
-        let listing = self.show();
+    /// Returns the visible listing, or 304 if the reader already has it.
+    fn conditional_listing(&self, request: &Request<Incoming>) -> Reply {
+        let listing = self.visible_listing();
         let text = serde_json::to_vec(&listing).unwrap_or_default();
         let mut hasher = DefaultHasher::new();
         text.hash(&mut hasher);
-        let tag = format!("\"{:x}\"", hasher.finish());
-        let known = request.headers().get(IF_NONE_MATCH);
-        let same = known.is_some_and(|known| known.as_bytes() == tag.as_bytes());
-        let mut reply = if same {
+        let etag = format!("\"{:x}\"", hasher.finish());
+        let if_none_match = request.headers().get(IF_NONE_MATCH);
+        let unchanged = if_none_match.is_some_and(|known| known.as_bytes() == etag.as_bytes());
+        let mut reply = if unchanged {
             bytes(StatusCode::NOT_MODIFIED, "application/json", Vec::new())
         } else {
             bytes(StatusCode::OK, "application/json", text)
         };
-        if let Ok(value) = HeaderValue::from_str(&tag) {
+        if let Ok(value) = HeaderValue::from_str(&etag) {
             reply.headers_mut().insert(ETAG, value);
         }
         reply
     }
 
-    fn show(&self) -> Listing {
-        let mut shown = lock(&self.shown);
+    fn visible_listing(&self) -> Listing {
+        let mut listings = lock(&self.listings);
         let now = Instant::now();
-        while shown.get(1).is_some_and(|(from, _)| *from <= now) {
-            shown.pop_front();
+        while listings.get(1).is_some_and(|(from, _)| *from <= now) {
+            listings.pop_front();
         }
-        shown
+        listings
             .front()
             .map(|(_, listing)| listing.clone())
             .unwrap_or_default()
     }
 
-    fn change(&self, listing: Listing) -> Reply {
-        let what = format!(
+    fn replace(&self, listing: Listing) -> Reply {
+        let detail = format!(
             "list changes to {} instances and {} endpoints",
             listing.instances.len(),
             listing.endpoints.len()
         );
-        self.recorder.record(Event::new(Kind::Member, what));
-        lock(&self.shown).push_back((Instant::now() + self.lag, listing));
+        self.recorder.record(Event::new(Kind::Member, detail));
+        lock(&self.listings).push_back((Instant::now() + self.lag, listing));
         json(StatusCode::OK, &serde_json::json!({}))
     }
 }
--- a/crates/ploverwick_standin/src/service.rs
+++ b/crates/ploverwick_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service. It answers with what it was asked and counts calls by tag.
+//! A simulated plain service. It echoes each call and counts calls by tag.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,41 +13,41 @@
 use ploverwick_timeline::{Event, Kind, Recorder};
 use serde::{Deserialize, Serialize};
 
-use crate::host::{self, Asked, Running, lock};
+use crate::host::{self, Handle, Route, lock};
 
-/// The header by which a test names the work of a call.
-pub const TAG: &str = "standin-tag";
+/// The request header with the tag by which calls are counted.
+pub const TAG_HEADER: &str = "standin-tag";
 
-/// How the service behaves.
+/// The configuration of the service.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name on the time line.
+    /// The name in the timeline.
     pub name: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// How long a call takes.
+    /// The duration of a call.
     pub call_time: Duration,
 }
 
-/// Faults that can be switched on.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// This many calls take effect, and their answers are lost.
+    /// The number of calls that take effect but whose responses are dropped.
     pub lose_answers: u32,
 }
 
-/// What the service has done.
+/// The calls that the service has received.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Calls {
     /// The number of calls by tag.
     pub by_tag: BTreeMap<String, u64>,
 }
 
-/// What the service answers.
+/// The response body.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Echo {
-    /// The service's name.
+    /// The name of the service.
     pub endpoint: String,
     /// The method of the call.
     pub method: String,
@@ -68,8 +68,8 @@
 /// Starts the service.
 ///
 /// # Errors
-/// Fails if the address cannot be listened on.
-pub async fn start(config: Config) -> io::Result<Running> {
+/// Fails if the address cannot be bound.
+pub async fn start(config: Config) -> io::Result<Handle> {
     host::run(config.address, |_| {
         Arc::new(Service {
             recorder: host::recorder(&config.name),
@@ -83,9 +83,9 @@
 
 impl Handler for Service {
     async fn handle(&self, request: Request<Incoming>) -> io::Result<Reply> {
-        let request = match host::common(request, &self.recorder, &self.faults).await? {
-            Asked::Answered(reply) => return Ok(reply),
-            Asked::Own(request) => request,
+        let request = match host::handle_common(request, &self.recorder, &self.faults).await? {
+            Route::Handled(reply) => return Ok(reply),
+            Route::Specific(request) => request,
         };
         if request.uri().path() == "/standin/calls" {
             return Ok(json(StatusCode::OK, &*lock(&self.calls)));
@@ -100,17 +100,17 @@
             let value = request.headers().get(name)?;
             value.to_str().ok().map(ToOwned::to_owned)
         };
-        let tag = text(TAG).unwrap_or_default();
+        let tag = text(TAG_HEADER).unwrap_or_default();
         let id = text(header::REQUEST).unwrap_or_default();
         let method = request.method().to_string();
         let path = request.uri().path().to_owned();
-        let body = host::body(request).await?;
+        let body = host::read_body(request).await?;
         *lock(&self.calls).by_tag.entry(tag).or_default() += 1;
         let event = Event::new(Kind::Attempt, format!("{method} {path} request={id}"));
         self.recorder.record(event);
         tokio::time::sleep(self.config.call_time).await;
-        if self.loses_answer() {
-            return Err(io::Error::other("the answer is lost"));
+        if self.consume_response_fault() {
+            return Err(io::Error::other("injected fault: response dropped"));
         }
         let echo = Echo {
             endpoint: self.config.name.clone(),
@@ -121,10 +121,10 @@
         Ok(json(StatusCode::OK, &echo))
     }
 
-    fn loses_answer(&self) -> bool {
+    fn consume_response_fault(&self) -> bool {
         let mut faults = lock(&self.faults);
-        let loses = faults.lose_answers > 0;
+        let applies = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
-        loses
+        applies
     }
 }
--- a/crates/ploverwick_standin/src/store.rs
+++ b/crates/ploverwick_standin/src/store.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the weight store, which bounds rate and concurrency.
+//! A simulated weight store with a rate limit and a concurrency limit.
 //!
-//! `GET /weights/ADAPTER/VERSION` takes the load time, longer if more loads run than the store
-//! serves at full speed. Over the rate it answers 429. Versions that start with `missing` do not
-//! exist.
+//! `GET /weights/ADAPTER/VERSION` takes the configured load time, and proportionally longer if more
+//! loads run than the store serves at full speed. Loads over the rate limit get 429. Versions that
+//! start with `missing` do not exist.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 use ploverwick_timeline::{Event, Kind, Recorder};
 use serde::{Deserialize, Serialize};
 
-use crate::host::{self, Asked, Bucket, Running, lock};
+use crate::host::{self, Handle, Route, TokenBucket, lock};
 
-/// How the store behaves.
+/// The configuration of the store.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name on the time line.
+    /// The name in the timeline.
     pub name: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// The most loads started a second.
+    /// The maximum number of loads started per second.
     pub loads_per_s: f64,
-    /// How many loads run at full speed.
+    /// The number of concurrent loads served at full speed.
     pub loads_at_once: u32,
-    /// How long a load takes at full speed.
+    /// The duration of a load at full speed.
     pub load_time: Duration,
 }
 
@@ -45,13 +45,13 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Whether every load is refused.
     pub outage: bool,
-    /// Every load takes this much longer, in milliseconds.
+    /// The extra duration of each load, in milliseconds.
     pub slow_ms: u64,
 }
 
@@ -60,15 +60,15 @@
     config: Config,
     recorder: Recorder,
     faults: Mutex<Faults>,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
     active: AtomicU32,
 }
 
 /// Starts the store.
 ///
 /// # Errors
-/// Fails if the address cannot be listened on.
-pub async fn start(config: Config) -> io::Result<Running> {
+/// Fails if the address cannot be bound.
+pub async fn start(config: Config) -> io::Result<Handle> {
     let address = config.address;
     host::run(address, |_| {
         let rate = config.loads_per_s;
@@ -76,7 +76,7 @@
             recorder: host::recorder(&config.name),
             config,
             faults: Mutex::default(),
-            bucket: Mutex::new(Bucket::new(rate, rate.max(1.0))),
+            bucket: Mutex::new(TokenBucket::new(rate, rate.max(1.0))),
             active: AtomicU32::new(0),
         })
     })
@@ -85,9 +85,9 @@
 
 impl Handler for Store {
     async fn handle(&self, request: Request<Incoming>) -> io::Result<Reply> {
-        let request = match host::common(request, &self.recorder, &self.faults).await? {
-            Asked::Answered(reply) => return Ok(reply),
-            Asked::Own(request) => request,
+        let request = match host::handle_common(request, &self.recorder, &self.faults).await? {
+            Route::Handled(reply) => return Ok(reply),
+            Route::Specific(request) => request,
         };
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -108,17 +108,17 @@
             return text(StatusCode::SERVICE_UNAVAILABLE, "outage\n");
         }
         if !lock(&self.bucket).take() {
-            let what = format!("refused {adapter}@{version}: too many loads");
-            self.recorder.record(Event::new(Kind::Load, what));
+            let detail = format!("refused {adapter}@{version}: too many loads");
+            self.recorder.record(Event::new(Kind::Load, detail));
             return text(StatusCode::TOO_MANY_REQUESTS, "too many loads\n");
         }
         let active = self.active.fetch_add(1, Ordering::Relaxed) + 1;
-        let crowding = (f64::from(active) / f64::from(self.config.loads_at_once)).max(1.0);
-        let time = self.config.load_time.mul_f64(crowding);
+        let slowdown = (f64::from(active) / f64::from(self.config.loads_at_once)).max(1.0);
+        let time = self.config.load_time.mul_f64(slowdown);
         tokio::time::sleep(time + Duration::from_millis(faults.slow_ms)).await;
         self.active.fetch_sub(1, Ordering::Relaxed);
-        let what = format!("served {adapter}@{version}");
-        self.recorder.record(Event::new(Kind::Load, what));
+        let detail = format!("served {adapter}@{version}");
+        self.recorder.record(Event::new(Kind::Load, detail));
         json(
             StatusCode::OK,
             &serde_json::json!({"adapter": adapter, "version": version}),
