--- a/crates/ploverwick/src/commands/demo.rs
+++ b/crates/ploverwick/src/commands/demo.rs
@@ -134,7 +134,7 @@
         "time line page, live: http://{}/\n",
         page.address()
     ));
-    for (callers, admin) in fleet.callers().iter().zip(fleet.admins()) {
+    for (callers, admin) in fleet.caller_addresses().iter().zip(fleet.admin_addresses()) {
         output::print(&format!("callers http://{callers}  admin http://{admin}\n"));
     }
     output::print(&format!(
--- a/crates/ploverwick/tests/common/process.rs
+++ b/crates/ploverwick/tests/common/process.rs
@@ -135,7 +135,7 @@
         admin: daemon.admin,
     };
     fleet
-        .adopt(entry, daemon.callers)
+        .add_external(entry, daemon.callers)
         .await
         .expect("the list answers");
 }
--- a/crates/ploverwick/tests/process_faults.rs
+++ b/crates/ploverwick/tests/process_faults.rs
@@ -91,12 +91,12 @@
 fn start_callers(fleet: &Fleet, stop: &Arc<AtomicBool>) -> JoinSet<Vec<Outcome>> {
     let mut callers = JoinSet::new();
     for caller in 0..CALLERS {
-        let entries = fleet.callers();
+        let entries = fleet.caller_addresses();
         let stop = Arc::clone(stop);
         callers.spawn(async move {
             let client = Client::new();
             let mut outcomes = Vec::new();
-            for work in work::make(caller as u64, 4000, ADAPTERS) {
+            for work in work::generate(caller as u64, 4000, ADAPTERS) {
                 if stop.load(Ordering::Acquire) {
                     break;
                 }
--- a/crates/ploverwick_bench/src/capacity/claims.rs
+++ b/crates/ploverwick_bench/src/capacity/claims.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 use http::Method;
-use ploverwick_demo::caller::{Got, perform};
+use ploverwick_demo::caller::{CallResult, perform};
 use ploverwick_demo::fleet::{Fleet, Plan};
 use ploverwick_demo::run::{publish_table, table};
 use ploverwick_demo::work::Work;
@@ -79,7 +79,7 @@
 async fn load(fleet: &Fleet, rate: u64, seconds: u64) -> Result<()> {
     let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / rate as f64));
     let client = Client::new();
-    let entries = fleet.callers();
+    let entries = fleet.caller_addresses();
     let mut tasks = JoinSet::new();
     for number in 0..usize::try_from(rate * seconds)? {
         ticks.tick().await;
@@ -93,18 +93,18 @@
                 tokens: 2,
                 stream: false,
                 non_idempotent: true,
-                doubled: false,
+                duplicated: false,
             };
             let key = uuid::Uuid::now_v7().to_string();
             perform(&client, &entries, number, &work, Some(&key))
                 .await
-                .got
+                .result
         });
     }
     while let Some(got) = tasks.join_next().await {
         let got = got?;
         anyhow::ensure!(
-            matches!(got, Got::Whole(_)),
+            matches!(got, CallResult::Complete(_)),
             "a request was not answered: {got:?}"
         );
     }
--- a/crates/ploverwick_bench/src/capacity/idle.rs
+++ b/crates/ploverwick_bench/src/capacity/idle.rs
@@ -145,7 +145,7 @@
             peers: daemon.peers(),
             admin: daemon.admin(),
         };
-        outside.block_on(fleet.adopt(entry, daemon.callers()))?;
+        outside.block_on(fleet.add_external(entry, daemon.callers()))?;
         daemons.push(daemon);
     }
     Ok(daemons)
--- a/crates/ploverwick_bench/src/recovery.rs
+++ b/crates/ploverwick_bench/src/recovery.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use ploverwick_daemon::Daemon;
-use ploverwick_demo::caller::{Got, perform};
+use ploverwick_demo::caller::{CallResult, perform};
 use ploverwick_demo::fleet::{Fleet, Plan, read_settings, settings};
 use ploverwick_demo::run::publish_table;
 use ploverwick_demo::work::Work;
@@ -60,7 +60,7 @@
         println!("{}", serde_json::to_string(&death)?);
     }
     // The platform's list catches up with the deaths.
-    fleet.list().await?;
+    fleet.update_roster().await?;
     tokio::time::sleep(LIST_LAG).await;
     let fewer = tables(&fleet, &mut version, times).await?;
     show("table in force, three daemons lost", &fewer, json);
@@ -132,7 +132,7 @@
             peers,
             admin,
         };
-        fleet.adopt(entry, callers).await?;
+        fleet.add_external(entry, callers).await?;
         Ok(Self { name, runtime })
     }
 }
@@ -163,8 +163,12 @@
         );
         number += 1;
         let work = work(&format!("{name}-{number}"), number);
-        let outcome = perform(&client, &fleet.callers(), number, &work, None).await;
-        anyhow::ensure!(matches!(outcome.got, Got::Whole(_)), "{:?}", outcome.got);
+        let outcome = perform(&client, &fleet.caller_addresses(), number, &work, None).await;
+        anyhow::ensure!(
+            matches!(outcome.result, CallResult::Complete(_)),
+            "{:?}",
+            outcome.result
+        );
         let events: Vec<Event> = reader.timelines(&[]).await.answers.concat();
         let since =
             |found: Option<&Event>| found.map(|event| event.stamp.millis().saturating_sub(started));
@@ -218,6 +222,6 @@
         tokens: 2,
         stream: false,
         non_idempotent: false,
-        doubled: false,
+        duplicated: false,
     }
 }
--- a/crates/ploverwick_bench/src/relay.rs
+++ b/crates/ploverwick_bench/src/relay.rs
@@ -57,8 +57,8 @@
         .iter()
         .map(|status| status.owned.iter().any(|endpoint| endpoint.owned));
     let other = owners.into_iter().position(|owns| !owns);
-    let entry = fleet.callers()[other.context("one daemon does not own the engine")?];
-    let engine = fleet.engines()[0];
+    let entry = fleet.caller_addresses()[other.context("one daemon does not own the engine")?];
+    let engine = fleet.engine_addresses()[0];
     Ok((fleet, entry, engine))
 }
 
--- a/crates/ploverwick_demo/src/caller.rs
+++ b/crates/ploverwick_demo/src/caller.rs
@@ -1,4 +1,4 @@
-//! Sends requests as a careful client would, and checks what comes back.
+//! Sends requests as a well-behaved client, with retries, and checks the responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,43 +15,43 @@
 
 use crate::work::Work;
 
-/// How often a caller repeats what did not run, or may be repeated.
-const TRIES: usize = 20;
-const PAUSE: Duration = Duration::from_millis(100);
+/// The maximum number of attempts per request.
+const MAX_ATTEMPTS: usize = 20;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a caller got at the end.
+/// The final result of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Got {
-    /// The whole answer, from the model that it names.
-    Whole(String),
-    /// Something else than the answer to its request.
-    Wrong(String),
-    /// A final refusal as not run.
+pub enum CallResult {
+    /// The complete response, with the model that the response names.
+    Complete(String),
+    /// A response with a different text or model than requested.
+    Mismatch(String),
+    /// A final refusal: the request did not run.
     NotRun(u16),
-    /// A final answer that the request may have run.
+    /// A final failure: the request may have run.
     MayHaveRun(u16),
-    /// No final answer after all tries.
-    Nothing(String),
+    /// No definite response.
+    NoResponse(String),
 }
 
-/// One try of a caller, as the caller saw it.
+/// An attempt, as seen by the caller.
 #[derive(Debug, Clone)]
-pub struct Try {
-    /// The request's identifier, if the daemon gave one.
+pub struct Attempt {
+    /// The request identifier, if the daemon returned one.
     pub request: Option<RequestName>,
-    /// Whether the daemon said that it did not run.
+    /// Whether the daemon reported that the request did not run.
     pub not_run: bool,
 }
 
-/// A caller's work from its first try to its end.
+/// The outcome of a piece of work over all attempts.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The work.
     pub work: Work,
-    /// How it ended.
-    pub got: Got,
-    /// Every try.
-    pub tries: Vec<Try>,
+    /// The result of the last attempt.
+    pub result: CallResult,
+    /// All attempts.
+    pub attempts: Vec<Attempt>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -65,12 +65,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Failure {
-    error: FailureFields,
+struct ErrorBody {
+    error: ErrorFields,
 }
 
 #[derive(Debug, Deserialize)]
-struct FailureFields {
+struct ErrorFields {
     code: u16,
     class: String,
     repeat: String,
@@ -78,71 +78,71 @@
     retry_after_ms: Option<u64>,
 }
 
-/// How one try ended.
-enum Ended {
-    Final(Got),
-    Again(Got, Duration),
+/// The result of an attempt, and for a retry the delay before it.
+enum Decision {
+    Final(CallResult),
+    Retry(CallResult, Duration),
 }
 
-/// Does a piece of work, trying the entries in turn from the `first` one on.
+/// Performs a piece of work. Attempts go to the daemons in turn, starting with index `first`.
 pub async fn perform(
     client: &Client,
-    entries: &[SocketAddr],
+    daemons: &[SocketAddr],
     first: usize,
     work: &Work,
     key: Option<&str>,
 ) -> Outcome {
-    let mut tries = Vec::new();
-    let mut last = Got::Nothing("no try".to_owned());
-    for index in 0..TRIES {
-        let entry = entries[(first + index) % entries.len()];
-        let (seen, ended) = attempt(client, entry, work, key).await;
-        tries.push(seen);
-        match ended {
-            Ended::Final(got) => {
-                last = got;
+    let mut attempts = Vec::new();
+    let mut last = CallResult::NoResponse("no attempt".to_owned());
+    for index in 0..MAX_ATTEMPTS {
+        let daemon = daemons[(first + index) % daemons.len()];
+        let (attempt, decision) = attempt(client, daemon, work, key).await;
+        attempts.push(attempt);
+        match decision {
+            Decision::Final(result) => {
+                last = result;
                 break;
             }
-            Ended::Again(got, pause) => {
-                last = got;
-                tokio::time::sleep(pause).await;
+            Decision::Retry(result, delay) => {
+                last = result;
+                tokio::time::sleep(delay).await;
             }
         }
     }
     Outcome {
         work: work.clone(),
-        got: last,
-        tries,
+        result: last,
+        attempts,
     }
 }
 
 async fn attempt(
     client: &Client,
-    entry: SocketAddr,
+    daemon: SocketAddr,
     work: &Work,
     key: Option<&str>,
-) -> (Try, Ended) {
-    let mut tried = Try {
+) -> (Attempt, Decision) {
+    let mut attempt = Attempt {
         request: None,
         not_run: false,
     };
-    let ended = match exchange(client, entry, work, key, &mut tried).await {
-        Ok(ended) => ended,
-        // Whether it ran is not known, so only what may run twice is tried again without a key.
+    let decision = match exchange(client, daemon, work, key, &mut attempt).await {
+        Ok(decision) => decision,
+        // It is unknown whether the request ran, so without a key only idempotent work is retried.
         Err(error) if key.is_some() || !work.non_idempotent => {
-            Ended::Again(Got::Nothing(format!("{error:#}")), PAUSE)
+            Decision::Retry(CallResult::NoResponse(format!("{error:#}")), RETRY_DELAY)
         }
-        Err(error) => Ended::Final(Got::Nothing(format!("{error:#}"))),
+        Err(error) => Decision::Final(CallResult::NoResponse(format!("{error:#}"))),
     };
-    (tried, ended)
+    (attempt, decision)
 }
 
-fn build(entry: SocketAddr, work: &Work, key: Option<&str>) -> Result<Request<Full<Bytes>>> {
+fn build(daemon: SocketAddr, work: &Work, key: Option<&str>) -> Result<Request<Full<Bytes>>> {
     let body = serde_json::json!({
         "model": work.model(), "prompt": "hint", "max_tokens": work.tokens,
         "stream": work.stream, "user": work.tag,
     });
-    let mut request = Request::post(format!("http://{entry}/v1/completions"));
+    let mut request = Request::post(format!("http://{daemon}/v1/completions"));
     if let Some(key) = key {
         request = request.header(header::IDEMPOTENCY_KEY, key);
     }
@@ -155,28 +155,28 @@
 
 async fn exchange(
     client: &Client,
-    entry: SocketAddr,
+    daemon: SocketAddr,
     work: &Work,
     key: Option<&str>,
-    tried: &mut Try,
-) -> Result<Ended> {
-    let response = client.send(entry, build(entry, work, key)?).await?;
-    let named = |name: &str| text(&response, name).map(ToOwned::to_owned);
-    tried.request = named(header::REQUEST).and_then(|name| RequestName::new(&name).ok());
-    let model = named(header::MODEL).unwrap_or_default();
+    attempt: &mut Attempt,
+) -> Result<Decision> {
+    let response = client.send(daemon, build(daemon, work, key)?).await?;
+    let owned_header = |name: &str| header_text(&response, name).map(ToOwned::to_owned);
+    attempt.request = owned_header(header::REQUEST).and_then(|name| RequestName::new(&name).ok());
+    let model = owned_header(header::MODEL).unwrap_or_default();
     let status = response.status();
     let (body, broken) = read_body(response).await;
     if !status.is_success() {
-        return failure(work, &body, tried);
+        return classify_error(work, &body, attempt);
     }
     if let Some(error) = broken {
-        return match last_error(&body) {
-            Some(told) => failure(work, &told, tried),
+        return match final_error(&body) {
+            Some(event) => classify_error(work, &event, attempt),
             None => Err(error),
         };
     }
-    let answered = if work.stream {
-        streamed(&body)?
+    let generated = if work.stream {
+        stream_text(&body)?
     } else {
         let completion: Completion = serde_json::from_slice(&body)?;
         completion
@@ -186,14 +186,16 @@
             .collect()
     };
     let expected = model == work.model() || work.version.is_none();
-    Ok(Ended::Final(if answered == work.answer() && expected {
-        Got::Whole(model)
-    } else {
-        Got::Wrong(format!("{model}: {answered}"))
-    }))
+    Ok(Decision::Final(
+        if generated == work.expected_text() && expected {
+            CallResult::Complete(model)
+        } else {
+            CallResult::Mismatch(format!("{model}: {generated}"))
+        },
+    ))
 }
 
-/// Reads a body as far as it comes, and says why it broke off, if it did.
+/// Reads a body until its end or until an error, and returns what was read with the error.
 async fn read_body(response: Response<Incoming>) -> (Bytes, Option<anyhow::Error>) {
     let mut body = response.into_body();
     let mut read = BytesMut::new();
@@ -201,7 +203,7 @@
         match body.frame().await {
             Some(Ok(frame)) => read.extend_from_slice(&frame.into_data().unwrap_or_default()),
             Some(Err(error)) => {
-                let error = anyhow::Error::new(error).context("the answer broke off");
+                let error = anyhow::Error::new(error).context("read the response body");
                 return (read.freeze(), Some(error));
             }
             None => return (read.freeze(), None),
@@ -209,8 +211,8 @@
     }
 }
 
-/// Finds the event in which a stream that broke off tells why.
-fn last_error(body: &Bytes) -> Option<Bytes> {
+/// Returns the data of the error event at the end of an aborted stream.
+fn final_error(body: &Bytes) -> Option<Bytes> {
     let text = std::str::from_utf8(body).ok()?;
     let event = text
         .rsplit("event: error\n")
@@ -220,36 +222,38 @@
     Some(Bytes::copy_from_slice(data.as_bytes()))
 }
 
-fn text<'a, B>(response: &'a Response<B>, name: &str) -> Option<&'a str> {
+fn header_text<'a, B>(response: &'a Response<B>, name: &str) -> Option<&'a str> {
     response.headers().get(name)?.to_str().ok()
 }
 
-fn failure(work: &Work, body: &Bytes, tried: &mut Try) -> Result<Ended> {
-    let failure: Failure = serde_json::from_slice(body).context("read a refusal")?;
+fn classify_error(work: &Work, body: &Bytes, attempt: &mut Attempt) -> Result<Decision> {
+    let failure: ErrorBody = serde_json::from_slice(body).context("parse an error response")?;
     let error = failure.error;
-    tried.not_run = error.class == "not_run";
-    let got = if tried.not_run {
-        Got::NotRun(error.code)
+    attempt.not_run = error.class == "not_run";
+    let result = if attempt.not_run {
+        CallResult::NotRun(error.code)
     } else {
-        Got::MayHaveRun(error.code)
+        CallResult::MayHaveRun(error.code)
     };
-    let may = match error.repeat.as_str() {
+    let retryable = match error.repeat.as_str() {
         "yes" => true,
         "if_idempotent" => !work.non_idempotent,
         _ => false,
     };
-    let pause = error.retry_after_ms.map_or(PAUSE, Duration::from_millis);
-    Ok(if may {
-        Ended::Again(got, pause)
+    let delay = error
+        .retry_after_ms
+        .map_or(RETRY_DELAY, Duration::from_millis);
+    Ok(if retryable {
+        Decision::Retry(result, delay)
     } else {
-        Ended::Final(got)
+        Decision::Final(result)
     })
 }
 
-/// Puts the text of a whole stream together.
-fn streamed(body: &Bytes) -> Result<String> {
-    let text = std::str::from_utf8(body).context("the stream is no text")?;
-    let mut answer = String::new();
+/// Concatenates the text of the events of a complete stream.
+fn stream_text(body: &Bytes) -> Result<String> {
+    let text = std::str::from_utf8(body).context("the stream is not valid UTF-8")?;
+    let mut generated = String::new();
     let mut done = false;
     for event in text.split("\n\n").filter(|event| !event.is_empty()) {
         let data = event
@@ -261,8 +265,8 @@
             continue;
         }
         let completion: Completion = serde_json::from_str(data)?;
-        answer.extend(completion.choices.into_iter().map(|choice| choice.text));
+        generated.extend(completion.choices.into_iter().map(|choice| choice.text));
     }
-    anyhow::ensure!(done, "the stream has no end");
-    Ok(answer)
+    anyhow::ensure!(done, "the stream has no [DONE] event");
+    Ok(generated)
 }
--- a/crates/ploverwick_demo/src/fleet.rs
+++ b/crates/ploverwick_demo/src/fleet.rs
@@ -16,28 +16,29 @@
 use serde::Serialize;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// The base model that the engines serve.
+/// The base model of all engines.
 pub const BASE: &str = "base";
-/// The plain service.
+/// The name of the plain service.
 pub const SERVICE: &str = "transcripts";
 const DOMAINS: [&str; 3] = ["charguia", "ariana", "lac"];
 
-/// The make-up of a fleet.
+/// The configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The number of daemons.
     pub daemons: usize,
-    /// The number of engines; every second one ignores fencing tokens.
+    /// The number of engines. Every second one ignores fencing tokens.
     pub engines: usize,
-    /// What every engine is like; name and address are filled in.
+    /// The configuration of every engine. Name, address, base model, store and token check are set by
+    /// the fleet.
     pub engine: engine::Config,
-    /// What the log is like.
+    /// The configuration of the log.
     pub log: log::Config,
-    /// What the store is like.
+    /// The configuration of the weight store.
     pub store: store::Config,
-    /// How far the platform's list lags.
+    /// The delay until a roster change becomes visible.
     pub roster_lag: Duration,
-    /// Further settings of every daemon, as TOML after the platform's section.
+    /// Further settings of every daemon: TOML that is appended to [`settings`].
     pub settings: String,
 }
 
@@ -64,15 +65,15 @@
     }
 }
 
-/// A stand-in for an endpoint, and how it is listed.
+/// An endpoint and its roster entry.
 #[derive(Debug)]
-struct Back {
+struct ListedEndpoint {
     running: Option<Handle>,
     entry: EndpointEntry,
 }
 
-/// A daemon, and how it is listed.
-struct Front {
+/// A daemon and its roster entry.
+struct ListedDaemon {
     daemon: Option<Daemon>,
     callers: SocketAddr,
     entry: InstanceEntry,
@@ -85,15 +86,15 @@
     log: Handle,
     store: Handle,
     roster: Handle,
-    backs: Vec<Back>,
-    fronts: Vec<Front>,
+    endpoints: Vec<ListedEndpoint>,
+    daemons: Vec<ListedDaemon>,
 }
 
 impl Fleet {
-    /// Starts a fleet. Nothing is in its table yet.
+    /// Starts a fleet without a published table.
     ///
     /// # Errors
-    /// Fails if an address cannot be listened on.
+    /// Fails if a process of the fleet cannot be started.
     pub async fn start(plan: Plan) -> Result<Self> {
         let log = log::start(plan.log.clone())
             .await
@@ -101,10 +102,13 @@
         let store = store::start(plan.store.clone())
             .await
             .context("start the store")?;
-        let backs = start_backs(&plan, store.address()).await?;
+        let endpoints = start_endpoints(&plan, store.address()).await?;
         let listing = Listing {
             instances: Vec::new(),
-            endpoints: backs.iter().map(|back| back.entry.clone()).collect(),
+            endpoints: endpoints
+                .iter()
+                .map(|listed| listed.entry.clone())
+                .collect(),
         };
         let roster = roster::start(roster::Config {
             name: "roster".to_owned(),
@@ -117,8 +121,8 @@
             log,
             store,
             roster: roster.await.context("start the roster")?,
-            backs,
-            fronts: Vec::new(),
+            endpoints,
+            daemons: Vec::new(),
             plan,
         };
         for _ in 0..fleet.plan.daemons {
@@ -127,12 +131,12 @@
         Ok(fleet)
     }
 
-    /// Starts one more daemon and has the platform list it.
+    /// Starts another daemon, adds it to the roster and returns its index.
     ///
     /// # Errors
-    /// Fails if an address cannot be listened on.
+    /// Fails if a process of the fleet cannot be started.
     pub async fn add_daemon(&mut self) -> Result<usize> {
-        let index = self.fronts.len();
+        let index = self.daemons.len();
         let name = format!("entry-{}", index + 1);
         let domain = DOMAINS[index % DOMAINS.len()];
         let settings = settings(&name, domain, self.log_address(), self.roster_address());
@@ -147,36 +151,44 @@
             peers: daemon.peers(),
             admin: daemon.admin(),
         };
-        self.fronts.push(Front {
+        self.daemons.push(ListedDaemon {
             callers: daemon.callers(),
             daemon: Some(daemon),
             entry,
         });
-        self.list().await?;
+        self.update_roster().await?;
         Ok(index)
     }
 
-    /// Has the platform list the fleet as it is.
+    /// Updates the roster to the current state of the fleet.
     ///
     /// # Errors
-    /// Fails if the list does not answer.
-    pub async fn list(&self) -> Result<()> {
+    /// Fails if the roster does not respond.
+    pub async fn update_roster(&self) -> Result<()> {
         let listing = Listing {
             instances: self
-                .fronts
+                .daemons
+                .iter()
+                .map(|listed| listed.entry.clone())
+                .collect(),
+            endpoints: self
+                .endpoints
                 .iter()
-                .map(|front| front.entry.clone())
+                .map(|listed| listed.entry.clone())
                 .collect(),
-            endpoints: self.backs.iter().map(|back| back.entry.clone()).collect(),
         };
         self.put(self.roster_address(), "/listing", &listing).await
     }
 
-    /// Switches faults of a stand-in on or off.
+    /// Replaces the injected faults of a stand-in.
     ///
     /// # Errors
-    /// Fails if the stand-in does not answer.
-    pub async fn faults<T: Serialize + Sync>(&self, address: SocketAddr, faults: &T) -> Result<()> {
+    /// Fails if the stand-in does not respond.
+    pub async fn inject_faults<T: Serialize + Sync>(
+        &self,
+        address: SocketAddr,
+        faults: &T,
+    ) -> Result<()> {
         self.put(address, "/faults", faults).await
     }
 
@@ -196,52 +208,52 @@
         call.await.map(drop).with_context(|| format!("PUT {path}"))
     }
 
-    /// Lets a daemon leave, as SIGTERM would, and takes it off the list when it is gone.
+    /// Drains a daemon, as SIGTERM does, and removes it from the roster once it has stopped.
     ///
     /// # Errors
-    /// Fails if the list does not answer.
+    /// Fails if the roster does not respond.
     pub async fn drain(&mut self, index: usize) -> Result<()> {
         let daemon = self.begin_drain(index).await?;
         if let Some(daemon) = daemon {
             daemon.drain().await;
         }
-        self.fronts.remove(index);
-        self.list().await
+        self.daemons.remove(index);
+        self.update_roster().await
     }
 
-    /// Has the platform list a daemon as leaving, and hands it out to be drained.
+    /// Marks a daemon as leaving in the roster and returns it for draining.
     ///
     /// # Errors
-    /// Fails if the list does not answer.
+    /// Fails if the roster does not respond.
     pub async fn begin_drain(&mut self, index: usize) -> Result<Option<Daemon>> {
-        let front = &mut self.fronts[index];
-        front.entry.state = State::Leaving;
-        let daemon = front.daemon.take();
-        self.list().await?;
+        let listed = &mut self.daemons[index];
+        listed.entry.state = State::Leaving;
+        let daemon = listed.daemon.take();
+        self.update_roster().await?;
         Ok(daemon)
     }
 
-    /// Takes a daemon that has left off the list.
+    /// Removes a drained daemon from the roster.
     ///
     /// # Errors
-    /// Fails if the list does not answer.
+    /// Fails if the roster does not respond.
     pub async fn end_drain(&mut self, index: usize) -> Result<()> {
-        self.fronts.remove(index);
-        self.list().await
+        self.daemons.remove(index);
+        self.update_roster().await
     }
 
-    /// Ends a daemon without a word. The platform's list lags: it goes on naming it.
+    /// Stops a daemon abruptly and without a roster update, so the roster continues to list it.
     pub fn fail(&mut self, name: &str) {
-        self.fronts
-            .retain(|front| front.entry.name.as_str() != name);
+        self.daemons
+            .retain(|listed| listed.entry.name.as_str() != name);
     }
 
-    /// Restarts a model engine: nothing is loaded and nothing runs.
+    /// Restarts a model engine, which loses its loaded adapters and running requests.
     ///
     /// # Errors
-    /// Fails if the engine does not answer.
+    /// Fails if the engine does not respond.
     pub async fn restart_engine(&self, index: usize) -> Result<()> {
-        let address = self.engines()[index];
+        let address = self.engine_addresses()[index];
         let call = self.client.call::<(), serde_json::Value>(
             Method::POST,
             address,
@@ -252,48 +264,53 @@
         call.await.map(drop).context("restart an engine")
     }
 
-    /// Has the platform list a daemon that runs elsewhere, such as in a process of its own.
+    /// Adds a daemon that the fleet does not run, such as one in its own process, to the roster. It
+    /// replaces a daemon of the same name.
     ///
     /// # Errors
-    /// Fails if the list does not answer.
-    pub async fn adopt(&mut self, entry: InstanceEntry, callers: SocketAddr) -> Result<()> {
-        self.fronts.retain(|front| front.entry.name != entry.name);
-        self.fronts.push(Front {
+    /// Fails if the roster does not respond.
+    pub async fn add_external(&mut self, entry: InstanceEntry, callers: SocketAddr) -> Result<()> {
+        self.daemons
+            .retain(|listed| listed.entry.name != entry.name);
+        self.daemons.push(ListedDaemon {
             daemon: None,
             callers,
             entry,
         });
-        self.list().await
+        self.update_roster().await
     }
 
-    /// Returns where the plain service listens.
-    pub fn service(&self) -> Option<SocketAddr> {
-        let mut backs = self.backs.iter();
-        let service = backs.find(|back| matches!(back.entry.serves, Serves::Service(_)));
-        service.map(|back| back.entry.address)
+    /// Returns the address of the plain service.
+    pub fn service_address(&self) -> Option<SocketAddr> {
+        let mut endpoints = self.endpoints.iter();
+        let service = endpoints.find(|listed| matches!(listed.entry.serves, Serves::Service(_)));
+        service.map(|listed| listed.entry.address)
     }
 
-    /// Returns where callers reach the daemons.
-    pub fn callers(&self) -> Vec<SocketAddr> {
-        self.fronts.iter().map(|front| front.callers).collect()
+    /// Returns the daemons' addresses for callers.
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
+        self.daemons.iter().map(|listed| listed.callers).collect()
     }
 
-    /// Returns where operators reach the daemons.
-    pub fn admins(&self) -> Vec<SocketAddr> {
-        self.fronts.iter().map(|front| front.entry.admin).collect()
+    /// Returns the daemons' admin addresses.
+    pub fn admin_addresses(&self) -> Vec<SocketAddr> {
+        self.daemons
+            .iter()
+            .map(|listed| listed.entry.admin)
+            .collect()
     }
 
-    /// Returns where the log listens.
+    /// Returns the address of the log.
     pub fn log_address(&self) -> SocketAddr {
         self.log.address()
     }
 
-    /// Returns where the list of instances listens.
+    /// Returns the address of the roster.
     pub fn roster_address(&self) -> SocketAddr {
         self.roster.address()
     }
 
-    /// Returns where the store listens.
+    /// Returns the address of the weight store.
     pub fn store_address(&self) -> SocketAddr {
         self.store.address()
     }
@@ -303,31 +320,31 @@
         Log::new(self.client.clone(), self.log_address(), TIMEOUT)
     }
 
-    /// Returns where the model engines listen.
-    pub fn engines(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses of the model engines.
+    pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         let models = self
-            .backs
+            .endpoints
             .iter()
-            .filter(|back| matches!(back.entry.serves, Serves::Model(_)));
-        models.map(|back| back.entry.address).collect()
+            .filter(|listed| matches!(listed.entry.serves, Serves::Model(_)));
+        models.map(|listed| listed.entry.address).collect()
     }
 
-    /// Has the platform list an endpoint as leaving.
+    /// Marks an endpoint as leaving in the roster.
     ///
     /// # Errors
-    /// Fails if the list does not answer.
-    pub async fn leave_endpoint(&mut self, index: usize) -> Result<()> {
-        self.backs[index].entry.state = State::Leaving;
-        self.list().await
+    /// Fails if the roster does not respond.
+    pub async fn mark_endpoint_leaving(&mut self, index: usize) -> Result<()> {
+        self.endpoints[index].entry.state = State::Leaving;
+        self.update_roster().await
     }
 
-    /// Reads the records of every model engine.
+    /// Returns the records of all model engines.
     ///
     /// # Errors
-    /// Fails if an engine does not answer.
+    /// Fails if an engine does not respond.
     pub async fn records(&self) -> Result<Vec<Records>> {
         let mut all = Vec::new();
-        for address in self.engines() {
+        for address in self.engine_addresses() {
             let call = self.client.call::<(), Records>(
                 Method::GET,
                 address,
@@ -340,17 +357,17 @@
         Ok(all)
     }
 
-    /// Waits until every daemon is ready and every engine has an owner.
+    /// Waits until every daemon has a table and knows the owner of every model endpoint.
     ///
     /// # Errors
-    /// Fails if that takes longer than `patience`.
-    pub async fn wait_ready(&self, patience: Duration) -> Result<()> {
+    /// Fails after `timeout`.
+    pub async fn wait_ready(&self, timeout: Duration) -> Result<()> {
         let waiting = async {
             while !self.is_ready().await {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(patience, waiting)
+        tokio::time::timeout(timeout, waiting)
             .await
             .context("the fleet did not become ready in time")
     }
@@ -360,7 +377,7 @@
             return false;
         };
         let status = fleet.status().await;
-        let all = status.answers.len() == self.fronts.len();
+        let all = status.answers.len() == self.daemons.len();
         all && status.answers.iter().all(|status| {
             let owned = status
                 .endpoints
@@ -371,8 +388,8 @@
     }
 }
 
-async fn start_backs(plan: &Plan, store: SocketAddr) -> Result<Vec<Back>> {
-    let mut backs = Vec::new();
+async fn start_endpoints(plan: &Plan, store: SocketAddr) -> Result<Vec<ListedEndpoint>> {
+    let mut endpoints = Vec::new();
     for index in 0..plan.engines {
         let name = format!("engine-{}", index + 1);
         let checks_tokens = index % 2 == 0;
@@ -393,7 +410,7 @@
             Fencing::Ignored
         };
         let serves = Serves::Model(BASE.to_owned());
-        backs.push(back(&name, running, serves, fencing, index)?);
+        endpoints.push(list_endpoint(&name, running, serves, fencing, index)?);
     }
     let config = service::Config {
         name: "service-1".to_owned(),
@@ -402,17 +419,23 @@
     };
     let running = service::start(config).await.context("start the service")?;
     let serves = Serves::Service(SERVICE.to_owned());
-    backs.push(back("service-1", running, serves, Fencing::Ignored, 0)?);
-    Ok(backs)
+    endpoints.push(list_endpoint(
+        "service-1",
+        running,
+        serves,
+        Fencing::Ignored,
+        0,
+    )?);
+    Ok(endpoints)
 }
 
-fn back(
+fn list_endpoint(
     name: &str,
     running: Handle,
     serves: Serves,
     fencing: Fencing,
     index: usize,
-) -> Result<Back> {
+) -> Result<ListedEndpoint> {
     let entry = EndpointEntry {
         name: Endpoint::new(name)?,
         state: State::Live,
@@ -421,7 +444,7 @@
         serves,
         fencing,
     };
-    Ok(Back {
+    Ok(ListedEndpoint {
         running: Some(running),
         entry,
     })
@@ -431,7 +454,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Writes the settings of a daemon on loopback with free ports.
+/// Returns the settings of a daemon on loopback with free ports, as TOML.
 pub fn settings(name: &str, domain: &str, log: SocketAddr, roster: SocketAddr) -> String {
     format!(
         r#"[instance]
@@ -459,10 +482,10 @@
     )
 }
 
-/// Reads settings, with every finding in the error.
+/// Parses settings. The error lists all findings.
 ///
 /// # Errors
-/// Fails if there is a finding.
+/// Fails if the settings have a finding.
 pub fn read_settings(text: &str) -> Result<Settings> {
     ploverwick_settings::read(text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
@@ -472,10 +495,10 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Daemons go first, so that they do not report lost endpoints.
-        self.fronts.clear();
-        for back in &mut self.backs {
-            back.running.take();
+        // Daemons stop first, so that they do not report lost endpoints.
+        self.daemons.clear();
+        for listed in &mut self.endpoints {
+            listed.running.take();
         }
     }
 }
--- a/crates/ploverwick_demo/src/lib.rs
+++ b/crates/ploverwick_demo/src/lib.rs
@@ -1,8 +1,8 @@
-//! A whole fleet in one process, and a load on it that checks every answer.
+//! A fleet in one process, with a workload that checks every response.
 //!
-//! [`fleet`] starts stand-ins and daemons on loopback; [`caller`] sends requests and checks what
-//! comes back; [`run`] is the demonstration; [`tally`] counts broken promises from the engines'
-//! own records.
+//! [`fleet`] starts stand-ins and daemons on loopback; [`work`] generates the requests; [`caller`]
+//! sends them and checks the responses; [`run`] is the demonstration; [`tally`] counts violated
+//! guarantees from the engines' records.
 
 pub mod caller;
 pub mod fleet;
--- a/crates/ploverwick_demo/src/tally.rs
+++ b/crates/ploverwick_demo/src/tally.rs
@@ -1,39 +1,40 @@
-//! Counts kept and broken promises from the engines' own records.
+//! Counts results and violated guarantees from the callers' outcomes and the engines' records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ploverwick_standin::engine::{self, Records, Run};
 use serde::Serialize;
 
-use crate::caller::{Got, Outcome};
+use crate::caller::{CallResult, Outcome};
 
-/// What was kept and what was broken.
+/// The counts of results and violations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Tally {
-    /// The pieces of work.
+    /// The number of pieces of work.
     pub requests: usize,
-    /// Work whose caller got the whole answer.
+    /// Work with a complete response.
     pub answered_whole: usize,
-    /// Runs on another adapter or version than asked for, and answers to another request.
+    /// Runs on another adapter or version than requested, and responses that do not match the
+    /// request.
     pub wrong_adapter: usize,
     /// Non-idempotent work that ran more than once.
     pub run_twice: usize,
-    /// Work whose caller got neither an answer nor a final code.
+    /// Work without a complete response or a final code.
     pub lost: usize,
-    /// Work that was refused as not run to the end.
+    /// Work whose final result is a refusal as not run.
     pub refused_not_run: usize,
-    /// Tries that were refused as not run, and ran.
+    /// Attempts that were refused as not run but ran.
     pub refused_but_ran: usize,
-    /// Work whose caller was told that it may have run.
+    /// Work whose final result is that it may have run.
     pub may_have_run: usize,
-    /// Adapters that were unloaded under a running request.
+    /// Unloads of an adapter that had running requests.
     pub unloaded_in_use: u64,
-    /// Adapters loaded.
+    /// Adapter loads.
     pub loads: u64,
 }
 
 impl Tally {
-    /// Says whether every promise was kept.
+    /// Returns whether no guarantee was violated.
     pub fn is_clean(&self) -> bool {
         self.wrong_adapter == 0
             && self.run_twice == 0
@@ -43,26 +44,27 @@
     }
 }
 
-/// Counts over the callers' outcomes and the engines' records.
+/// Computes the counts.
 pub fn count(outcomes: &[Outcome], records: &[Records]) -> Tally {
     let runs: Vec<&Run> = records.iter().flat_map(|records| &records.runs).collect();
-    let asked: BTreeMap<&str, &Outcome> = outcomes
+    let requested: BTreeMap<&str, &Outcome> = outcomes
         .iter()
         .map(|outcome| (outcome.work.tag.as_str(), outcome))
         .collect();
-    let got = |wanted: fn(&Got) -> bool| {
-        let matching = outcomes.iter().filter(|outcome| wanted(&outcome.got));
+    let count_results = |matches: fn(&CallResult) -> bool| {
+        let matching = outcomes.iter().filter(|outcome| matches(&outcome.result));
         matching.count()
     };
     Tally {
         requests: outcomes.len(),
-        answered_whole: got(|got| matches!(got, Got::Whole(_))),
-        wrong_adapter: wrong_runs(&runs, &asked) + got(|got| matches!(got, Got::Wrong(_))),
-        run_twice: run_twice(&runs, &asked),
-        lost: got(|got| matches!(got, Got::Nothing(_))),
-        refused_not_run: got(|got| matches!(got, Got::NotRun(_))),
+        answered_whole: count_results(|result| matches!(result, CallResult::Complete(_))),
+        wrong_adapter: count_wrong_runs(&runs, &requested)
+            + count_results(|result| matches!(result, CallResult::Mismatch(_))),
+        run_twice: run_twice(&runs, &requested),
+        lost: count_results(|result| matches!(result, CallResult::NoResponse(_))),
+        refused_not_run: count_results(|result| matches!(result, CallResult::NotRun(_))),
         refused_but_ran: refused_but_ran(&runs, outcomes),
-        may_have_run: got(|got| matches!(got, Got::MayHaveRun(_))),
+        may_have_run: count_results(|result| matches!(result, CallResult::MayHaveRun(_))),
         unloaded_in_use: records.iter().map(|records| records.unloaded_in_use).sum(),
         loads: records
             .iter()
@@ -71,10 +73,10 @@
     }
 }
 
-/// Counts runs whose adapter or version is not the one that the caller asked for.
-fn wrong_runs(runs: &[&Run], asked: &BTreeMap<&str, &Outcome>) -> usize {
+/// Counts runs whose adapter or version is not the requested one.
+fn count_wrong_runs(runs: &[&Run], requested: &BTreeMap<&str, &Outcome>) -> usize {
     let wrong = runs.iter().filter(|run| {
-        let Some(outcome) = asked.get(run.tag.as_str()) else {
+        let Some(outcome) = requested.get(run.tag.as_str()) else {
             return true;
         };
         let work = &outcome.work;
@@ -85,13 +87,13 @@
     wrong.count()
 }
 
-fn run_twice(runs: &[&Run], asked: &BTreeMap<&str, &Outcome>) -> usize {
+fn run_twice(runs: &[&Run], requested: &BTreeMap<&str, &Outcome>) -> usize {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for run in runs {
-        let once = asked
+        let at_most_once = requested
             .get(run.tag.as_str())
             .is_some_and(|outcome| outcome.work.non_idempotent);
-        if once {
+        if at_most_once {
             *counts.entry(run.tag.as_str()).or_default() += 1;
         }
     }
@@ -102,15 +104,15 @@
     let ran: BTreeSet<&str> = runs.iter().map(|run| run.request.as_str()).collect();
     let refused = outcomes
         .iter()
-        .flat_map(|outcome| &outcome.tries)
-        .filter(|tried| tried.not_run)
-        .filter_map(|tried| tried.request.as_ref());
+        .flat_map(|outcome| &outcome.attempts)
+        .filter(|attempt| attempt.not_run)
+        .filter_map(|attempt| attempt.request.as_ref());
     refused
         .filter(|request| ran.contains(request.as_str()))
         .count()
 }
 
-/// Returns how full the busy steps of all engines were, from 0 to 1.
+/// Returns the batch utilization of the busy steps of all engines, from 0 to 1.
 pub fn batch_fill(records: &[Records]) -> f64 {
     let steps: Vec<engine::Steps> = records.iter().map(|records| records.steps).collect();
     let computed: u64 = steps.iter().map(|steps| steps.computed).sum();
--- a/crates/ploverwick_demo/tests/bad_input.rs
+++ b/crates/ploverwick_demo/tests/bad_input.rs
@@ -1,10 +1,10 @@
-//! Bad input gets a clear coded answer, and the daemon goes on.
+//! Invalid input gets an error response with a code, and the daemon continues to serve.
 
 mod common;
 
 use std::fmt::Write;
 
-use common::{completion, plan, ready, send};
+use common::{completion, plan, ready_fleet, send};
 use http::Method;
 use ploverwick_codes::Code;
 use ploverwick_demo::fleet::Plan;
@@ -14,7 +14,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const RUN: &str = "/v1/completions";
 
-/// A case: its name, method, path, headers and body.
+/// A test case: name, method, path, headers and body.
 type Case = (
     &'static str,
     Method,
@@ -147,7 +147,7 @@
     parts.into_iter().flatten().collect()
 }
 
-fn tight() -> Plan {
+fn plan_with_small_limits() -> Plan {
     Plan {
         settings: "[limits]\nbody_bytes = 4096\nbody_timeout_ms = 200\n".to_owned(),
         ..plan(1, 1)
@@ -156,11 +156,11 @@
 
 #[tokio::test]
 async fn coded_refusals() {
-    let fleet = ready(tight()).await;
-    let entry = fleet.callers()[0];
+    let fleet = ready_fleet(plan_with_small_limits()).await;
+    let address = fleet.caller_addresses()[0];
     let mut shown = String::new();
     for (name, method, path, headers, body) in cases() {
-        let reply = send(entry, method, path, &headers, &body).await;
+        let reply = send(address, method, path, &headers, &body).await;
         let code = Code::from_number(reply.code).map(Code::name);
         let _ = writeln!(
             shown,
@@ -173,54 +173,62 @@
 }
 
 #[tokio::test]
-async fn slow_client() {
-    let fleet = ready(tight()).await;
-    let mut stream = TcpStream::connect(fleet.callers()[0])
+async fn slow_client_times_out() {
+    let fleet = ready_fleet(plan_with_small_limits()).await;
+    let mut stream = TcpStream::connect(fleet.caller_addresses()[0])
         .await
-        .expect("it connects");
+        .expect("the daemon accepts the connection");
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{\"mod";
-    stream.write_all(head.as_bytes()).await.expect("it sends");
-    let mut answer = [0; 4096];
-    let read = stream.read(&mut answer).await.expect("there is an answer");
-    let answer = String::from_utf8_lossy(&answer[..read]);
-    assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    assert!(answer.contains("ploverwick-code: 2013"), "{answer}");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("the daemon reads the request");
+    let mut response = [0; 4096];
+    let read = stream
+        .read(&mut response)
+        .await
+        .expect("the daemon responds");
+    let response = String::from_utf8_lossy(&response[..read]);
+    assert!(response.starts_with("HTTP/1.1 408"), "{response}");
+    assert!(response.contains("ploverwick-code: 2013"), "{response}");
 }
 
 #[tokio::test]
-async fn vanishing_client() {
-    let fleet = ready(tight()).await;
-    let entry = fleet.callers()[0];
+async fn client_may_disconnect_mid_request() {
+    let fleet = ready_fleet(plan_with_small_limits()).await;
+    let address = fleet.caller_addresses()[0];
     for cut in [1, 20, 60] {
         let text = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{\"mod";
-        let mut stream = TcpStream::connect(entry).await.expect("it connects");
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the daemon accepts the connection");
         stream
             .write_all(&text.as_bytes()[..cut])
             .await
-            .expect("it sends");
+            .expect("the daemon reads the request");
         drop(stream);
     }
     let body = completion("base:school-000@v1", "after");
-    let reply = send(entry, Method::POST, RUN, &[], &body).await;
+    let reply = send(address, Method::POST, RUN, &[], &body).await;
     assert_eq!(reply.status, 200, "{}", reply.body);
 }
 
 #[tokio::test]
-async fn before_table() {
+async fn not_ready_without_table() {
     let fleet = ploverwick_demo::fleet::Fleet::start(plan(1, 1))
         .await
-        .expect("it starts");
-    let entry = fleet.callers()[0];
+        .expect("the fleet starts");
+    let address = fleet.caller_addresses()[0];
     assert_eq!(
-        send(entry, Method::GET, "/healthz", &[], "").await.status,
+        send(address, Method::GET, "/healthz", &[], "").await.status,
         200
     );
     assert_eq!(
-        send(entry, Method::GET, "/readyz", &[], "").await.status,
+        send(address, Method::GET, "/readyz", &[], "").await.status,
         503
     );
     let body = completion("base:school-000@v1", "early");
-    let reply = send(entry, Method::POST, RUN, &[], &body).await;
+    let reply = send(address, Method::POST, RUN, &[], &body).await;
     assert_eq!(reply.code, Code::NoTable.number());
     assert!(reply.headers.contains_key("retry-after"));
 }
--- a/crates/ploverwick_demo/tests/common/mod.rs
+++ b/crates/ploverwick_demo/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests over loopback share. They wait for events and never assert on elapsed time.
+//! Helpers for tests over loopback. They wait for conditions and never assert on elapsed time.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full};
-use ploverwick_demo::caller::{Got, Outcome, perform};
+use ploverwick_demo::caller::{CallResult, Outcome, perform};
 use ploverwick_demo::fleet::{Fleet, Plan};
 use ploverwick_demo::run::{publish_table, table};
 use ploverwick_demo::work::Work;
@@ -16,15 +16,15 @@
 use ploverwick_standin::engine;
 use tokio::task::JoinHandle;
 
-/// How long anything may take before a test fails.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The time limit of each wait, after which a test fails.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A reply as a test looks at it.
+/// An HTTP response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The result code's number, 0 without one.
+    /// The number of the result code; 0 if there is none.
     pub code: u16,
     /// The headers.
     pub headers: BTreeMap<String, String>,
@@ -33,20 +33,17 @@
 }
 
 /// Starts a fleet with the demonstration's table in force and every engine owned.
-pub async fn ready(plan: Plan) -> Fleet {
+pub async fn ready_fleet(plan: Plan) -> Fleet {
     let fleet = Fleet::start(plan).await.expect("the fleet starts");
-    let table = table(1).expect("the table is good");
+    let table = table(1).expect("the table is valid");
     publish_table(&fleet, Offset(0), &table)
         .await
         .expect("the table is accepted");
-    fleet
-        .wait_ready(PATIENCE)
-        .await
-        .expect("the fleet is ready");
+    fleet.wait_ready(TIMEOUT).await.expect("the fleet is ready");
     fleet
 }
 
-/// Returns a plan with some daemons and engines.
+/// Returns a plan with the given numbers of daemons and engines.
 pub fn plan(daemons: usize, engines: usize) -> Plan {
     Plan {
         daemons,
@@ -56,7 +53,7 @@
     }
 }
 
-/// Returns an engine that makes a token in `millis`.
+/// Returns the configuration of an engine with steps of `millis` milliseconds.
 pub fn slow_engine(millis: u64) -> engine::Config {
     engine::Config {
         step: Duration::from_millis(millis),
@@ -64,7 +61,7 @@
     }
 }
 
-/// Makes a piece of work.
+/// Creates a piece of work.
 pub fn work(tag: &str, adapter: &str, tokens: usize) -> Work {
     Work {
         tag: tag.to_owned(),
@@ -73,29 +70,29 @@
         tokens,
         stream: false,
         non_idempotent: false,
-        doubled: false,
+        duplicated: false,
     }
 }
 
-/// Makes a piece of work that may run at most once.
-pub fn once(tag: &str, adapter: &str) -> Work {
+/// Creates a piece of work that may run at most once.
+pub fn at_most_once(tag: &str, adapter: &str) -> Work {
     Work {
         non_idempotent: true,
         ..work(tag, adapter, 4)
     }
 }
 
-/// Does a piece of work at the fleet's entries, from the `first` one on.
-pub async fn act(fleet: &Fleet, first: usize, work: &Work, key: Option<&str>) -> Outcome {
-    perform(&Client::new(), &fleet.callers(), first, work, key).await
+/// Performs a piece of work. Attempts go to the daemons in turn, starting with index `first`.
+pub async fn send_work(fleet: &Fleet, first: usize, work: &Work, key: Option<&str>) -> Outcome {
+    perform(&Client::new(), &fleet.caller_addresses(), first, work, key).await
 }
 
-/// Makes a new key.
+/// Returns a new idempotency key.
 pub fn key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// Sends one request and reads its reply.
+/// Sends a request and returns the response.
 pub async fn send(
     address: SocketAddr,
     method: Method,
@@ -111,11 +108,11 @@
     }
     let request = request
         .body(Full::from(body.to_owned()))
-        .expect("the request is well formed");
+        .expect("the request is valid");
     let response = Client::new()
         .send(address, request)
         .await
-        .expect("there is a reply");
+        .expect("the daemon responds");
     let status = response.status().as_u16();
     let headers: BTreeMap<String, String> = response
         .headers()
@@ -143,42 +140,51 @@
     serde_json::json!({"model": model, "prompt": "hint", "max_tokens": 4, "user": tag}).to_string()
 }
 
-/// Counts the runs of a tag over all engines.
-pub async fn runs(fleet: &Fleet, tag: &str) -> usize {
-    let records = fleet.records().await.expect("the engines answer");
+/// Counts the runs with a tag on all engines.
+pub async fn count_runs(fleet: &Fleet, tag: &str) -> usize {
+    let records = fleet.records().await.expect("the engines respond");
     let runs = records.iter().flat_map(|records| &records.runs);
     runs.filter(|run| run.tag == tag).count()
 }
 
-/// Counts adapters that were unloaded under a running request.
+/// Counts the unloads of adapters that had running requests.
 pub async fn unloaded_in_use(fleet: &Fleet) -> u64 {
-    let records = fleet.records().await.expect("the engines answer");
+    let records = fleet.records().await.expect("the engines respond");
     records.iter().map(|records| records.unloaded_in_use).sum()
 }
 
-/// Waits until `holds` is true.
-pub async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
+/// Waits until `condition` returns true.
+pub async fn wait_until<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, waiting).await;
-    assert!(waited.is_ok(), "it did not come about: {what}");
+    let waited = tokio::time::timeout(TIMEOUT, waiting).await;
+    assert!(waited.is_ok(), "timed out waiting until {what}");
 }
 
-/// Starts a long stream at one entry.
-pub fn stream(entry: SocketAddr, tag: &str, adapter: &str, tokens: usize) -> JoinHandle<Outcome> {
+/// Starts a streaming request to one daemon.
+pub fn start_stream(
+    address: SocketAddr,
+    tag: &str,
+    adapter: &str,
+    tokens: usize,
+) -> JoinHandle<Outcome> {
     let work = Work {
         stream: true,
         ..work(tag, adapter, tokens)
     };
-    tokio::spawn(async move { perform(&Client::new(), &[entry], 0, &work, None).await })
+    tokio::spawn(async move { perform(&Client::new(), &[address], 0, &work, None).await })
 }
 
-/// Asserts that a stream's caller got the whole answer in its first try.
-pub async fn uninterrupted(stream: JoinHandle<Outcome>) {
-    let outcome = stream.await.expect("the caller ends");
-    assert!(matches!(outcome.got, Got::Whole(_)), "{:?}", outcome.got);
-    assert_eq!(outcome.tries.len(), 1);
+/// Asserts that the caller of a stream got the complete response in the first attempt.
+pub async fn assert_uninterrupted(stream: JoinHandle<Outcome>) {
+    let outcome = stream.await.expect("the caller does not panic");
+    assert!(
+        matches!(outcome.result, CallResult::Complete(_)),
+        "{:?}",
+        outcome.result
+    );
+    assert_eq!(outcome.attempts.len(), 1);
 }
--- a/crates/ploverwick_demo/tests/demo_holds.rs
+++ b/crates/ploverwick_demo/tests/demo_guarantees.rs
@@ -1,10 +1,10 @@
-//! The demonstration keeps every promise.
+//! The demonstration violates no guarantee.
 
 use googletest::prelude::*;
 use ploverwick_demo::run::run;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn demo_holds() {
+async fn no_guarantee_violated() {
     let (report, _fleet) = run(7).await.expect("the demonstration runs");
     let tally = &report.tally;
     assert_that!(tally.is_clean(), eq(true), "{tally:?}");
--- a/crates/ploverwick_demo/tests/keyed_repeat.rs
+++ b/crates/ploverwick_demo/tests/keyed_repeat.rs
@@ -1,80 +1,83 @@
-//! A non-idempotent request runs at most once, and every repeat gets its answer.
+//! A non-idempotent request runs at most once, and every repeat gets the response of that run.
 
 mod common;
 
-use common::{act, completion, key, once, plan, ready, runs, send};
+use common::{at_most_once, completion, count_runs, key, plan, ready_fleet, send, send_work};
 use googletest::prelude::*;
 use http::Method;
 use ploverwick_codes::Code;
-use ploverwick_demo::caller::Got;
+use ploverwick_demo::caller::CallResult;
 use ploverwick_demo::fleet::Plan;
 
-fn whole(got: &Got) -> bool {
-    matches!(got, Got::Whole(_))
+fn is_complete(result: &CallResult) -> bool {
+    matches!(result, CallResult::Complete(_))
 }
 
 #[tokio::test]
-async fn repeat_elsewhere() {
-    let fleet = ready(plan(3, 2)).await;
+async fn repeat_on_other_daemons() {
+    let fleet = ready_fleet(plan(3, 2)).await;
     let key = key();
-    let work = once("repeat", "school-001");
+    let work = at_most_once("repeat", "school-001");
     let (a, b, c) = tokio::join!(
-        act(&fleet, 0, &work, Some(&key)),
-        act(&fleet, 1, &work, Some(&key)),
-        act(&fleet, 2, &work, Some(&key)),
+        send_work(&fleet, 0, &work, Some(&key)),
+        send_work(&fleet, 1, &work, Some(&key)),
+        send_work(&fleet, 2, &work, Some(&key)),
     );
-    let late = act(&fleet, 1, &work, Some(&key)).await;
+    let late = send_work(&fleet, 1, &work, Some(&key)).await;
     assert_that!(
-        [&a.got, &b.got, &c.got, &late.got].map(whole),
+        [&a.result, &b.result, &c.result, &late.result].map(is_complete),
         each(eq(true))
     );
-    assert_that!(runs(&fleet, "repeat").await, eq(1));
+    assert_that!(count_runs(&fleet, "repeat").await, eq(1));
 }
 
 #[tokio::test]
-async fn stream_repeat() {
-    let fleet = ready(plan(2, 2)).await;
+async fn repeated_stream() {
+    let fleet = ready_fleet(plan(2, 2)).await;
     let key = key();
-    let mut work = once("stream", "school-002");
+    let mut work = at_most_once("stream", "school-002");
     work.stream = true;
-    let first = act(&fleet, 0, &work, Some(&key)).await;
-    let again = act(&fleet, 1, &work, Some(&key)).await;
-    assert_that!([&first.got, &again.got].map(whole), each(eq(true)));
-    assert_that!(runs(&fleet, "stream").await, eq(1));
+    let first = send_work(&fleet, 0, &work, Some(&key)).await;
+    let again = send_work(&fleet, 1, &work, Some(&key)).await;
+    assert_that!(
+        [&first.result, &again.result].map(is_complete),
+        each(eq(true))
+    );
+    assert_that!(count_runs(&fleet, "stream").await, eq(1));
 }
 
 #[tokio::test]
-async fn resume_position() {
-    let fleet = ready(plan(1, 1)).await;
+async fn resumes_after_last_event() {
+    let fleet = ready_fleet(plan(1, 1)).await;
     let key = key();
-    let entry = fleet.callers()[0];
+    let address = fleet.caller_addresses()[0];
     let body = serde_json::json!({
         "model": "base:school-000@v1", "max_tokens": 5, "stream": true, "user": "position",
     });
     let body = body.to_string();
     let headers = [("idempotency-key", key.as_str())];
-    let all = send(entry, Method::POST, "/v1/completions", &headers, &body).await;
+    let all = send(address, Method::POST, "/v1/completions", &headers, &body).await;
     let headers = [("idempotency-key", key.as_str()), ("last-event-id", "3")];
-    let rest = send(entry, Method::POST, "/v1/completions", &headers, &body).await;
+    let rest = send(address, Method::POST, "/v1/completions", &headers, &body).await;
     let expected = all
         .body
         .split_once("id: 4\n")
         .map(|(_, rest)| format!("id: 4\n{rest}"));
     assert_that!(Some(rest.body), eq(&expected));
-    assert_that!(runs(&fleet, "position").await, eq(1));
+    assert_that!(count_runs(&fleet, "position").await, eq(1));
 }
 
 #[tokio::test]
-async fn other_caller() {
+async fn keys_are_scoped_to_caller() {
     let settings = "[access]\nanonymous = false\n[[access.caller]]\nname = \"exams\"\n\
                     token = \"one\"\n[[access.caller]]\nname = \"rosters\"\ntoken = \"two\"\n";
-    let fleet = ready(Plan {
+    let fleet = ready_fleet(Plan {
         settings: settings.to_owned(),
         ..plan(1, 1)
     })
     .await;
     let key = key();
-    let entry = fleet.callers()[0];
+    let address = fleet.caller_addresses()[0];
     let ask = async |token: &str, tag: &str| {
         let bearer = format!("Bearer {token}");
         let headers = [
@@ -83,31 +86,34 @@
             ("ploverwick-non-idempotent", "true"),
         ];
         let body = completion("base:school-000@v1", tag);
-        send(entry, Method::POST, "/v1/completions", &headers, &body).await
+        send(address, Method::POST, "/v1/completions", &headers, &body).await
     };
     let mine = ask("one", "mine").await;
     let theirs = ask("two", "theirs").await;
     assert_that!([mine.status, theirs.status], each(eq(200)));
-    // The same key of another caller is another request: it runs, and gets its own answer.
-    assert_that!(runs(&fleet, "mine").await, eq(1));
-    assert_that!(runs(&fleet, "theirs").await, eq(1));
+    // The same key from another caller is another request, with its own run and response.
+    assert_that!(count_runs(&fleet, "mine").await, eq(1));
+    assert_that!(count_runs(&fleet, "theirs").await, eq(1));
 }
 
 #[tokio::test]
-async fn answer_dropped() {
-    let fleet = ready(Plan {
+async fn no_rerun_after_response_eviction() {
+    let fleet = ready_fleet(Plan {
         settings: "[limits]\nkept_answers_bytes = 1\n".to_owned(),
         ..plan(2, 1)
     })
     .await;
     let key = key();
-    let work = once("dropped", "school-000");
-    let first = act(&fleet, 0, &work, Some(&key)).await;
-    assert_that!(whole(&first.got), eq(true));
-    // It ran, its answer made room, and it is not run again for a repeat, here or elsewhere.
-    for entry in 0..2 {
-        let again = act(&fleet, entry, &work, Some(&key)).await;
-        assert_that!(again.got, eq(&Got::MayHaveRun(Code::AnswerLost.number())));
+    let work = at_most_once("dropped", "school-000");
+    let first = send_work(&fleet, 0, &work, Some(&key)).await;
+    assert_that!(is_complete(&first.result), eq(true));
+    // The stored response was evicted. A repeat must not run the request again, on either daemon.
+    for index in 0..2 {
+        let again = send_work(&fleet, index, &work, Some(&key)).await;
+        assert_that!(
+            again.result,
+            eq(&CallResult::MayHaveRun(Code::AnswerLost.number()))
+        );
     }
-    assert_that!(runs(&fleet, "dropped").await, eq(1));
+    assert_that!(count_runs(&fleet, "dropped").await, eq(1));
 }
