--- a/crates/ploverwick_dev/src/main.rs
+++ b/crates/ploverwick_dev/src/main.rs
@@ -1,6 +1,7 @@
-//! Regenerates committed files, or checks that they are current.
+//! Regenerates committed files, or checks that they are up to date.
 //!
-//! `cargo run -p ploverwick_dev -- generate` writes them; `check` exits with 1 if one is stale.
+//! `cargo run -p ploverwick_dev -- generate` writes the files; `check` exits with status 1 if one is
+//! stale.
 
 mod pages;
 mod protocol;
@@ -13,21 +14,21 @@
 
 mod flags {
     xflags::xflags! {
-        /// Regenerates committed files, or checks that they are current.
+        /// Regenerates committed files, or checks that they are up to date.
         cmd ploverwick-dev {
-            /// Writes every generated file.
+            /// Writes all generated files.
             cmd generate {}
-            /// Exits with 1 if a generated file is not current.
+            /// Exits with status 1 if a generated file is stale.
             cmd check {}
         }
     }
 }
 
-/// A file that is made from code.
+/// A generated file.
 struct Generated {
-    /// Where it stands, from the workspace's root.
+    /// The path, relative to the workspace root.
     path: PathBuf,
-    /// What it should hold.
+    /// The expected content.
     text: String,
 }
 
@@ -51,7 +52,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn all() -> Result<Vec<Generated>> {
+fn generated_files() -> Result<Vec<Generated>> {
     Ok(vec![
         protocol::code(&root())?,
         pages::results(),
@@ -61,7 +62,7 @@
 }
 
 fn generate() -> Result<bool> {
-    for file in all()? {
+    for file in generated_files()? {
         let path = root().join(&file.path);
         std::fs::write(&path, &file.text).with_context(|| format!("write {}", path.display()))?;
         println!("wrote {}", file.path.display());
@@ -70,16 +71,16 @@
 }
 
 fn check() -> Result<bool> {
-    let mut current = true;
-    for file in all()? {
+    let mut up_to_date = true;
+    for file in generated_files()? {
         let found = std::fs::read_to_string(root().join(&file.path)).unwrap_or_default();
         if found != file.text {
-            current = false;
+            up_to_date = false;
             eprintln!(
                 "{} is stale: run `cargo run -p ploverwick_dev -- generate` and commit it",
                 file.path.display()
             );
         }
     }
-    Ok(current)
+    Ok(up_to_date)
 }
--- a/crates/ploverwick_dev/src/protocol.rs
+++ b/crates/ploverwick_dev/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Generates the Rust code of the daemons' protocol.
+//! Generates the Rust code of the peer protocol between daemons.
 
 use std::path::{Path, PathBuf};
 
@@ -6,16 +6,16 @@
 
 use crate::Generated;
 
-const PROTO: &str = "crates/ploverwick_wire/proto/peer.proto";
-const CODE: &str = "crates/ploverwick_wire/src/generated.rs";
+const PROTO_PATH: &str = "crates/ploverwick_wire/proto/peer.proto";
+const CODE_PATH: &str = "crates/ploverwick_wire/src/generated.rs";
 const PACKAGE_FILE: &str = "ploverwick.peer.v1.rs";
 
-/// Generates the code with a compiler that is itself a library, so that no program is needed.
+/// Generates the code. The protobuf compiler is a library, so `protoc` need not be installed.
 ///
 /// # Errors
 /// Fails if the protocol file does not compile or the scratch directory cannot be written.
 pub(crate) fn code(root: &Path) -> Result<Generated> {
-    let proto = root.join(PROTO);
+    let proto = root.join(PROTO_PATH);
     let include = proto
         .parent()
         .context("the protocol file has a directory")?;
@@ -30,7 +30,7 @@
     let text = std::fs::read_to_string(scratch.join(PACKAGE_FILE)).context("read the code")?;
     std::fs::remove_dir_all(&scratch).context("remove the scratch directory")?;
     Ok(Generated {
-        path: PathBuf::from(CODE),
+        path: PathBuf::from(CODE_PATH),
         text,
     })
 }
