--- a/crates/ploverwick_demo/tests/common/mod.rs
+++ b/crates/ploverwick_demo/tests/common/mod.rs
@@ -154,14 +154,17 @@
 }
 
 /// Waits until `condition` returns true.
-pub async fn wait_until<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
+pub async fn wait_until<F: Future<Output = bool>>(
+    description: &str,
+    mut condition: impl FnMut() -> F,
+) {
     let waiting = async {
         while !condition().await {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
     let waited = tokio::time::timeout(TIMEOUT, waiting).await;
-    assert!(waited.is_ok(), "timed out waiting until {what}");
+    assert!(waited.is_ok(), "timed out waiting until {description}");
 }
 
 /// Starts a streaming request to one daemon.
--- a/crates/ploverwick_dev/src/scenarios.rs
+++ b/crates/ploverwick_dev/src/scenarios.rs
@@ -35,7 +35,7 @@
         "The last column is the number of violations that the script's output reports.\n\n",
     );
     text.push_str("| guarantee | scenario | failure | broken |\n| --- | --- | --- | --- |\n");
-    for (folder, promise) in FOLDERS {
+    for (folder, guarantee) in FOLDERS {
         for script in scripts(&root.join(SCRIPTS_PATH).join(folder))? {
             let name = script
                 .file_name()
@@ -46,7 +46,7 @@
                 .with_context(|| format!("read {}", script.display()))?;
             let _ = writeln!(
                 text,
-                "| {promise} | {folder}/{name} | {} | {} |",
+                "| {guarantee} | {folder}/{name} | {} | {} |",
                 leading_comment(&content),
                 broken(&content)
             );
--- a/crates/ploverwick_standin/src/engine/core.rs
+++ b/crates/ploverwick_standin/src/engine/core.rs
@@ -78,7 +78,7 @@
 pub(super) struct Core {
     slots: u32,
     batch: u32,
-    instant: bool,
+    generates_at_once: bool,
     checks_tokens: bool,
     report_lag: Duration,
     resume_window: Duration,
@@ -101,7 +101,7 @@
         Self {
             slots: config.slots,
             batch: config.batch,
-            instant: config.step.is_zero(),
+            generates_at_once: config.step.is_zero(),
             checks_tokens: config.checks_tokens,
             report_lag: config.report_lag,
             resume_window: config.resume_window,
@@ -237,7 +237,7 @@
         };
         let request = run_request.request.clone();
         self.active.insert(run_request.request, run);
-        while self.instant && self.active.contains_key(&request) {
+        while self.generates_at_once && self.active.contains_key(&request) {
             self.advance(&request);
         }
         Ok(reader)
--- a/crates/ploverwick_standin/src/roster.rs
+++ b/crates/ploverwick_standin/src/roster.rs
@@ -122,7 +122,7 @@
 
     fn replace(&self, listing: Listing) -> Reply {
         let detail = format!(
-            "list changes to {} instances and {} endpoints",
+            "roster changes to {} instances and {} endpoints",
             listing.instances.len(),
             listing.endpoints.len()
         );
