--- a/crates/ploverwick/src/commands.rs
+++ b/crates/ploverwick/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, a module each.
+//! The implementations of the commands, one module per command.
 
 pub(crate) mod demo;
 pub(crate) mod history;
--- a/crates/ploverwick/src/commands/history.rs
+++ b/crates/ploverwick/src/commands/history.rs
@@ -8,11 +8,11 @@
 use serde::Serialize;
 
 use crate::flags::table::History;
-use crate::{Answer, output, place};
+use crate::{CommandResult, output, platform};
 
-/// A publication as the history shows it.
+/// A table publication as printed by the command.
 #[derive(Serialize)]
-struct Line {
+struct Publication {
     offset: u64,
     at: String,
     kind: &'static str,
@@ -22,25 +22,27 @@
     verdict: String,
 }
 
-/// Lists the publications in the log.
-pub(crate) async fn run(flags: History) -> Answer {
-    let log = place::log(flags.log, flags.settings.as_ref())?;
-    let mut lines = Vec::new();
+/// Prints the table publications in the log.
+pub(crate) async fn run(flags: History) -> CommandResult {
+    let log = platform::log_client(flags.log, flags.settings.as_ref())?;
+    let mut publications = Vec::new();
     let mut stream = Stream::default();
     stream
-        .read(&log, Duration::ZERO, |entry, _| lines.push(line(&entry)))
+        .read(&log, Duration::ZERO, |entry, _| {
+            publications.push(publication(&entry))
+        })
         .await?;
     if flags.json {
-        for line in &lines {
-            output::print(&format!("{}\n", serde_json::to_string(line)?));
+        for publication in &publications {
+            output::print(&format!("{}\n", serde_json::to_string(publication)?));
         }
     } else {
-        output::print(&text(&lines));
+        output::print(&format_history(&publications));
     }
     Ok(true)
 }
 
-fn line(entry: &Entry) -> Line {
+fn publication(entry: &Entry) -> Publication {
     let at = i64::try_from(entry.at_ms).ok();
     let at = at.and_then(|millis| Timestamp::from_millisecond(millis).ok());
     let (kind, author, base, rows) = match &entry.record {
@@ -60,7 +62,7 @@
         }
         other => format!("{other:?}"),
     };
-    Line {
+    Publication {
         offset: entry.offset.0,
         at: at.map(|at| at.to_string()).unwrap_or_default(),
         kind,
@@ -71,22 +73,22 @@
     }
 }
 
-fn text(lines: &[Line]) -> String {
-    if lines.is_empty() {
+fn format_history(publications: &[Publication]) -> String {
+    if publications.is_empty() {
         return "nothing was published\n".to_owned();
     }
     let header = ["offset", "at", "kind", "author", "base", "rows", "verdict"];
     let mut rows = vec![header.map(String::from).to_vec()];
-    for line in lines {
+    for publication in publications {
         rows.push(vec![
-            line.offset.to_string(),
-            line.at.clone(),
-            line.kind.to_owned(),
-            line.author.clone(),
-            line.base.to_string(),
-            line.rows.to_string(),
-            line.verdict.clone(),
+            publication.offset.to_string(),
+            publication.at.clone(),
+            publication.kind.to_owned(),
+            publication.author.clone(),
+            publication.base.to_string(),
+            publication.rows.to_string(),
+            publication.verdict.clone(),
         ]);
     }
-    output::columns(&rows)
+    output::format_columns(&rows)
 }
--- a/crates/ploverwick/src/commands/publish.rs
+++ b/crates/ploverwick/src/commands/publish.rs
@@ -8,23 +8,23 @@
 
 use super::table;
 use crate::flags::table::Publish;
-use crate::{Answer, output, place};
+use crate::{CommandResult, output, platform};
 
-const WAIT_MS: u64 = 10_000;
+const DEFAULT_WAIT_MS: u64 = 10_000;
 
-/// Publishes a table, waits for the verdict, then for the daemons.
-pub(crate) async fn run(flags: Publish) -> Answer {
-    let edited = match table::read(&flags.file)? {
-        Ok(edited) => edited,
+/// Publishes a table, waits for the verdict and then until all daemons have the table in force.
+pub(crate) async fn run(flags: Publish) -> CommandResult {
+    let table = match table::read(&flags.file)? {
+        Ok(table) => table,
         Err(findings) => {
             eprint!("{findings}");
             return Ok(false);
         }
     };
-    let log = place::log(flags.log, flags.settings.as_ref())?;
-    let user = || std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned());
-    let author = flags.author.unwrap_or_else(user);
-    let version = match publish(&log, Offset(flags.base), &edited, &author).await? {
+    let log = platform::log_client(flags.log, flags.settings.as_ref())?;
+    let default_author = || std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned());
+    let author = flags.author.unwrap_or_else(default_author);
+    let version = match publish(&log, Offset(flags.base), &table, &author).await? {
         PublishOutcome::Accepted(version) => version,
         PublishOutcome::Unchanged => {
             output::print(&format!(
@@ -34,26 +34,26 @@
             return Ok(true);
         }
         PublishOutcome::Refused(verdict) => {
-            eprintln!("refused: {}", explain(&verdict));
+            eprintln!("refused: {}", describe_verdict(&verdict));
             return Ok(false);
         }
     };
     output::print(&format!("accepted as version {version}\n"));
     if flags.roster.is_none() && flags.settings.is_none() {
-        output::print("give --roster or --settings to wait until it is in force\n");
+        output::print("give --roster or --settings to wait until the table is in force\n");
         return Ok(true);
     }
-    let fleet = place::fleet(flags.roster, flags.settings.as_ref()).await?;
-    let patience = Duration::from_millis(flags.wait_ms.unwrap_or(WAIT_MS));
-    let (there, all, took) = fleet.wait_in_force(version, patience).await;
+    let fleet = platform::fleet(flags.roster, flags.settings.as_ref()).await?;
+    let timeout = Duration::from_millis(flags.wait_ms.unwrap_or(DEFAULT_WAIT_MS));
+    let (updated, total, elapsed) = fleet.wait_in_force(version, timeout).await;
     output::print(&format!(
-        "in force on {there} of {all} daemons after {} ms\n",
-        took.as_millis()
+        "in force on {updated} of {total} daemons after {} ms\n",
+        elapsed.as_millis()
     ));
-    Ok(there == all && all > 0)
+    Ok(updated == total && total > 0)
 }
 
-fn explain(verdict: &Verdict) -> String {
+fn describe_verdict(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Clash(rows) => {
             let rows: Vec<String> = rows
@@ -62,7 +62,7 @@
                 .collect();
             format!(
                 "these rows have changed since your base: {}; \
-                 take `table show --csv`, edit it and publish it with its version as the base",
+                 edit the output of `table show --csv` and publish it with its version as the base",
                 rows.join(", ")
             )
         }
--- a/crates/ploverwick/src/commands/serve.rs
+++ b/crates/ploverwick/src/commands/serve.rs
@@ -6,13 +6,13 @@
 use ploverwick_daemon::{Daemon, logging};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-use crate::{Answer, output, place};
+use crate::{CommandResult, output, platform};
 
-/// Runs a daemon until it is told to stop, then lets it leave. A second signal ends it at once.
-pub(crate) async fn run(file: &Path) -> Answer {
-    let settings = place::settings(file)?;
+/// Runs a daemon until SIGTERM or SIGINT, then drains it. A second signal aborts the drain.
+pub(crate) async fn run(file: &Path) -> CommandResult {
+    let settings = platform::load_settings(file)?;
     logging::set_up(&settings.log)?;
-    let mut signals = Signals::new()?;
+    let mut signals = StopSignals::new()?;
     let daemon = Daemon::start(settings).await?;
     output::print(&format!(
         "callers {}\npeers {}\nadmin {}\n",
@@ -20,32 +20,32 @@
         daemon.peers(),
         daemon.admin()
     ));
-    signals.next().await;
+    signals.wait().await;
     tokio::select! {
         () = daemon.drain() => Ok(true),
-        () = signals.next() => {
-            spdlog::warn!("told to stop again: requests are cut off");
+        () = signals.wait() => {
+            spdlog::warn!("second stop signal: aborting requests in progress");
             Ok(false)
         }
     }
 }
 
-/// The signals that tell a daemon to stop.
-struct Signals {
+/// The signals that stop a daemon.
+struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl Signals {
+impl StopSignals {
     fn new() -> Result<Self> {
-        let on = |kind| signal(kind).context("listen for signals");
+        let listen = |kind| signal(kind).context("listen for signals");
         Ok(Self {
-            terminate: on(SignalKind::terminate())?,
-            interrupt: on(SignalKind::interrupt())?,
+            terminate: listen(SignalKind::terminate())?,
+            interrupt: listen(SignalKind::interrupt())?,
         })
     }
 
-    async fn next(&mut self) {
+    async fn wait(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
--- a/crates/ploverwick/src/commands/settings.rs
+++ b/crates/ploverwick/src/commands/settings.rs
@@ -2,11 +2,14 @@
 
 use std::path::Path;
 
-use crate::{Answer, output};
+use crate::{CommandResult, output};
 
-/// Reports every finding in a settings file.
-#[allow(clippy::unnecessary_wraps, reason = "every command has the same form")]
-pub(crate) fn check(file: &Path) -> Answer {
+/// Prints all findings in a settings file.
+#[allow(
+    clippy::unnecessary_wraps,
+    reason = "all commands have the same signature"
+)]
+pub(crate) fn check(file: &Path) -> CommandResult {
     match ploverwick_settings::load(file) {
         Ok(settings) => {
             let instance = &settings.instance;
@@ -19,15 +22,18 @@
             Ok(true)
         }
         Err(findings) => {
-            eprint!("{}", output::findings(file, &findings));
+            eprint!("{}", output::format_findings(file, &findings));
             Ok(false)
         }
     }
 }
 
-/// Prints the example file.
-#[allow(clippy::unnecessary_wraps, reason = "every command has the same form")]
-pub(crate) fn example() -> Answer {
+/// Prints the example settings file.
+#[allow(
+    clippy::unnecessary_wraps,
+    reason = "all commands have the same signature"
+)]
+pub(crate) fn example() -> CommandResult {
     output::print(ploverwick_settings::EXAMPLE);
     Ok(true)
 }
--- a/crates/ploverwick/src/commands/show.rs
+++ b/crates/ploverwick/src/commands/show.rs
@@ -7,14 +7,14 @@
 use ploverwick_table::{Subject, Table, parse};
 
 use crate::flags::table::Show;
-use crate::{Answer, output, place};
+use crate::{CommandResult, output, platform};
 
-/// Shows what is in force.
-pub(crate) async fn run(flags: Show) -> Answer {
+/// Prints the policy in force for each adapter, or the table itself as CSV.
+pub(crate) async fn run(flags: Show) -> CommandResult {
     let at = match &flags.at {
-        Some(text) => text
-            .parse::<Timestamp>()
-            .with_context(|| format!("--at {text:?}: write a time such as 2026-12-02T08:00:00Z"))?,
+        Some(text) => text.parse::<Timestamp>().with_context(|| {
+            format!("--at {text:?}: expected a time such as 2026-12-02T08:00:00Z")
+        })?,
         None => Timestamp::now(),
     };
     let hall = flags
@@ -23,9 +23,9 @@
         .map(Hall::new)
         .transpose()
         .context("--hall")?;
-    let fleet = place::fleet(flags.roster, flags.settings.as_ref()).await?;
-    let (version, csv) = fleet.table().await.map_err(|fault| match fault {
-        Some(fault) => anyhow::anyhow!("no daemon shows its table: {fault}"),
+    let fleet = platform::fleet(flags.roster, flags.settings.as_ref()).await?;
+    let (version, csv) = fleet.table().await.map_err(|error| match error {
+        Some(error) => anyhow::anyhow!("cannot fetch the table from any daemon: {error}"),
         None => anyhow::anyhow!("the platform lists no daemon"),
     })?;
     if flags.csv {
@@ -38,9 +38,9 @@
         return Ok(false);
     }
     let table =
-        parse::parse(&csv).map_err(|_| anyhow::anyhow!("a daemon's table is unreadable"))?;
+        parse::parse(&csv).map_err(|_| anyhow::anyhow!("cannot parse the table of a daemon"))?;
     output::print(&format!("version {version} at {at}\n"));
-    output::print(&output::columns(&rows(&table, hall.as_ref(), at)?));
+    output::print(&output::format_columns(&rows(&table, hall.as_ref(), at)?));
     Ok(true)
 }
 
@@ -51,34 +51,36 @@
     let mut rows = vec![header.map(String::from).to_vec()];
     for (subject, _) in table.rows() {
         if let Subject::Adapter(adapter) = subject {
-            let terms = resolve(table, adapter, hall, at).context("a listed row resolves")?;
-            rows.push(row(adapter, &terms));
+            let policy =
+                resolve(table, adapter, hall, at).context("a row of the table does not resolve")?;
+            rows.push(row(adapter, &policy));
         }
     }
-    // Adapters without a row of their own, if the table covers them.
-    let other = Adapter::new("other").context("the constant is a name")?;
+    // The last row is for all adapters that the table does not list. It exists only if the table has
+    // a `*` row; any unlisted name resolves to it.
+    let unlisted = Adapter::new("other").context("invalid placeholder name")?;
     let covers_all = table.row(&Subject::All).is_some();
-    if covers_all && let Some(terms) = resolve(table, &other, hall, at) {
-        let mut others = row(&other, &terms);
-        "(others)".clone_into(&mut others[0]);
-        rows.push(others);
+    if covers_all && let Some(policy) = resolve(table, &unlisted, hall, at) {
+        let mut default_row = row(&unlisted, &policy);
+        "(others)".clone_into(&mut default_row[0]);
+        rows.push(default_row);
     }
     Ok(rows)
 }
 
-fn row(adapter: &Adapter, terms: &Policy) -> Vec<String> {
+fn row(adapter: &Adapter, policy: &Policy) -> Vec<String> {
     let or_dash = |text: Option<String>| text.unwrap_or_else(|| "-".to_owned());
-    let limits: Vec<String> = terms
+    let limits: Vec<String> = policy
         .limits
         .iter()
         .map(|limit| format!("{}/s ({} of {})", limit.rate, limit.column, limit.subject))
         .collect();
     vec![
         adapter.to_string(),
-        or_dash(terms.version.as_ref().map(ToString::to_string)),
-        or_dash(terms.group.as_ref().map(ToString::to_string)),
-        terms.weight.to_string(),
-        terms.priority.to_string(),
+        or_dash(policy.version.as_ref().map(ToString::to_string)),
+        or_dash(policy.group.as_ref().map(ToString::to_string)),
+        policy.weight.to_string(),
+        policy.priority.to_string(),
         or_dash(Some(limits.join(", ")).filter(|text| !text.is_empty())),
     ]
 }
--- a/crates/ploverwick/src/commands/status.rs
+++ b/crates/ploverwick/src/commands/status.rs
@@ -7,47 +7,47 @@
 use serde::Serialize;
 
 use crate::flags::Status;
-use crate::{Answer, output, place};
+use crate::{CommandResult, output, platform};
 
-/// The status of a fleet.
+/// The status of a fleet as printed by `--json`.
 #[derive(Serialize)]
-struct Shown<'a> {
+struct JsonOutput<'a> {
     daemons: &'a [DaemonStatus],
     silent: Vec<String>,
 }
 
-/// Shows the status of every daemon.
-pub(crate) async fn run(flags: Status) -> Answer {
-    let fleet = place::fleet(flags.roster, flags.settings.as_ref()).await?;
-    let reading = fleet.status().await;
+/// Prints the status of every daemon. Exits with 1 if a daemon did not respond.
+pub(crate) async fn run(flags: Status) -> CommandResult {
+    let fleet = platform::fleet(flags.roster, flags.settings.as_ref()).await?;
+    let responses = fleet.status().await;
     if flags.json {
-        let shown = Shown {
-            daemons: &reading.answers,
-            silent: reading
+        let fleet_status = JsonOutput {
+            daemons: &responses.answers,
+            silent: responses
                 .failures
                 .iter()
                 .map(|failure| failure.name.clone())
                 .collect(),
         };
-        output::print(&format!("{}\n", serde_json::to_string(&shown)?));
+        output::print(&format!("{}\n", serde_json::to_string(&fleet_status)?));
     } else {
-        output::print(&text(&reading));
+        output::print(&format_status(&responses));
     }
-    Ok(reading.failures.is_empty() && !reading.answers.is_empty())
+    Ok(responses.failures.is_empty() && !responses.answers.is_empty())
 }
 
-fn text(reading: &Responses<DaemonStatus>) -> String {
-    let mut text = output::columns(&instances(reading));
+fn format_status(responses: &Responses<DaemonStatus>) -> String {
+    let mut text = output::format_columns(&instance_rows(responses));
     text.push('\n');
-    text.push_str(&output::columns(&endpoints(reading)));
-    for Failure { name, error } in &reading.failures {
-        let word = output::verdict(false, "silent");
+    text.push_str(&output::format_columns(&endpoint_rows(responses)));
+    for Failure { name, error } in &responses.failures {
+        let word = output::paint(false, "silent");
         let _ = writeln!(text, "{word}: {name}: {error}");
     }
     text
 }
 
-fn instances(reading: &Responses<DaemonStatus>) -> Vec<Vec<String>> {
+fn instance_rows(responses: &Responses<DaemonStatus>) -> Vec<Vec<String>> {
     let header = [
         "instance",
         "failure domain",
@@ -58,7 +58,7 @@
         "answers",
     ];
     let mut rows = vec![header.map(String::from).to_vec()];
-    for status in &reading.answers {
+    for status in &responses.answers {
         let live = status
             .members
             .iter()
@@ -81,12 +81,12 @@
     rows
 }
 
-fn endpoints(reading: &Responses<DaemonStatus>) -> Vec<Vec<String>> {
+fn endpoint_rows(responses: &Responses<DaemonStatus>) -> Vec<Vec<String>> {
     let header = [
         "endpoint", "owner", "token", "waiting", "running", "batch", "slots",
     ];
     let mut rows = vec![header.map(String::from).to_vec()];
-    let owned = reading.answers.iter().flat_map(|status| {
+    let owned = responses.answers.iter().flat_map(|status| {
         let owned = status.owned.iter().filter(|endpoint| endpoint.owned);
         owned.map(|endpoint| (status.instance.clone(), endpoint))
     });
--- a/crates/ploverwick/src/commands/table.rs
+++ b/crates/ploverwick/src/commands/table.rs
@@ -5,16 +5,16 @@
 use anyhow::{Context, Result};
 use ploverwick_table::{Table, parse, patch};
 
-use crate::{Answer, output};
+use crate::{CommandResult, output};
 
-/// Reads a table file; its findings are in the inner error.
+/// Reads a table file. The outer error is an I/O error, the inner one the formatted findings.
 pub(crate) fn read(file: &Path) -> Result<std::result::Result<Table, String>> {
     let text = std::fs::read_to_string(file).with_context(|| format!("read {}", file.display()))?;
-    Ok(parse::parse(&text).map_err(|findings| output::findings(file, &findings)))
+    Ok(parse::parse(&text).map_err(|findings| output::format_findings(file, &findings)))
 }
 
-/// Reports every finding in a table file.
-pub(crate) fn check(file: &Path) -> Answer {
+/// Prints all findings in a table file.
+pub(crate) fn check(file: &Path) -> CommandResult {
     match read(file)? {
         Ok(table) => {
             output::print(&format!("{}: good: {} rows\n", file.display(), table.len()));
@@ -27,12 +27,12 @@
     }
 }
 
-/// Shows what differs between two table files.
-pub(crate) fn diff(before: &Path, after: &Path) -> Answer {
-    let good = |file: &Path| -> Result<Table> {
-        read(file)?.map_err(|findings| anyhow::anyhow!("the table cannot be used\n{findings}"))
+/// Prints the differences between two table files.
+pub(crate) fn diff(before: &Path, after: &Path) -> CommandResult {
+    let read_valid = |file: &Path| -> Result<Table> {
+        read(file)?.map_err(|findings| anyhow::anyhow!("the table is invalid\n{findings}"))
     };
-    let edits = patch::diff(&good(before)?, &good(after)?);
+    let edits = patch::diff(&read_valid(before)?, &read_valid(after)?);
     for edit in &edits {
         output::print(&format!("{edit}\n"));
     }
--- a/crates/ploverwick/src/commands/timeline.rs
+++ b/crates/ploverwick/src/commands/timeline.rs
@@ -4,13 +4,13 @@
 use ploverwick_timeline::view::{Filter, merge, text};
 
 use crate::flags::Timeline;
-use crate::{Answer, output, place};
+use crate::{CommandResult, output, platform};
 
-/// Merges the time lines of all processes. Exits with 1 if one did not answer.
-pub(crate) async fn run(flags: Timeline) -> Answer {
-    let fleet = place::fleet(flags.roster, flags.settings.as_ref()).await?;
-    let reading = fleet.timelines(&flags.from).await;
-    for failure in &reading.failures {
+/// Prints the merged timeline of all processes. Exits with 1 if a process did not respond.
+pub(crate) async fn run(flags: Timeline) -> CommandResult {
+    let fleet = platform::fleet(flags.roster, flags.settings.as_ref()).await?;
+    let responses = fleet.timelines(&flags.from).await;
+    for failure in &responses.failures {
         eprintln!("silent: {}: {}", failure.name, failure.error);
     }
     let filter = Filter {
@@ -18,7 +18,7 @@
         adapter: flags.adapter,
         endpoint: flags.endpoint,
     };
-    let events = merge(reading.answers, &filter);
+    let events = merge(responses.answers, &filter);
     if let Some(file) = &flags.html {
         std::fs::write(file, ploverwick_timeline::page(&events))
             .with_context(|| format!("write {}", file.display()))?;
@@ -30,5 +30,5 @@
     } else {
         output::print(&text(&events));
     }
-    Ok(reading.failures.is_empty())
+    Ok(responses.failures.is_empty())
 }
--- a/crates/ploverwick/src/flags.rs
+++ b/crates/ploverwick/src/flags.rs
@@ -1,7 +1,7 @@
-//! The grammar of the command line.
+//! The flags and subcommands of the command line.
 //!
-//! The generator cannot take two subcommands of one name, such as `settings check` and
-//! `table check`, so each group has a grammar of its own in a module of its own.
+//! `xflags!` does not support two subcommands with the same name, such as `settings check` and
+//! `table check`, so each command group is a separate grammar in its own module.
 #![allow(missing_docs, clippy::pedantic)]
 
 use std::net::SocketAddr;
@@ -11,29 +11,30 @@
 pub mod table;
 
 xflags::xflags! {
-    /// A serving layer for very many LoRA adapters.
+    /// A serving layer for large numbers of LoRA adapters.
     ///
-    /// Exit status: 0, 1 if the answer is no, 2 if the command could not run.
+    /// Exit status: 0 on success, 1 if the result is negative, 2 if the command could not run.
     cmd ploverwick {
-        /// Runs a daemon until SIGTERM or Ctrl-C, then lets it leave without cutting a request off.
+        /// Runs a daemon until SIGTERM or Ctrl-C, then drains it without aborting requests.
         cmd serve {
             /// The settings file. `ploverwick settings example` prints one.
             required --settings file: PathBuf
         }
-        /// Works with settings files: `check` and `example`.
+        /// Commands for settings files: `check` and `example`.
         cmd settings {}
-        /// Works with the table: `check`, `diff`, `publish`, `show` and `history`.
+        /// Commands for the table: `check`, `diff`, `publish`, `show` and `history`.
         cmd table {}
-        /// Shows instances, endpoints, owners, slots and queues. Exits with 1 if a daemon is silent.
+        /// Shows instances, endpoints, owners, slots and queues. Exits with 1 if a daemon does not
+        /// respond.
         cmd status {
             /// Print one JSON object.
             optional --json
-            /// Where to find the roster, from a daemon's settings file.
+            /// A daemon's settings file to read the roster's address from.
             optional --settings file: PathBuf
-            /// The roster's address, in place of the settings'.
+            /// The roster's address; overrides the settings file.
             optional --roster address: SocketAddr
         }
-        /// Merges the time lines of all processes into one.
+        /// Shows the merged timeline of all processes.
         cmd timeline {
             /// Only events of this request.
             optional --request name: String
@@ -41,24 +42,24 @@
             optional --adapter name: String
             /// Only events of this endpoint.
             optional --endpoint name: String
-            /// Print one JSON object a line.
+            /// Print one JSON object per line.
             optional --json
-            /// Write a page with a lane for each process to this file.
+            /// Write an HTML page with one lane per process to this file.
             optional --html file: PathBuf
-            /// A further process to ask, such as a stand-in; may be given again.
+            /// The address of another process to query, such as a stand-in; can be repeated.
             repeated --from address: SocketAddr
-            /// Where to find the roster, from a daemon's settings file.
+            /// A daemon's settings file to read the roster's address from.
             optional --settings file: PathBuf
-            /// The roster's address, in place of the settings'.
+            /// The roster's address; overrides the settings file.
             optional --roster address: SocketAddr
         }
-        /// Runs a small fleet in this process under load, and counts kept and broken promises.
+        /// Runs a small fleet under load in this process and checks its delivery guarantees.
         cmd demo {
             /// Print one JSON object.
             optional --json
-            /// Keep the fleet up until Ctrl-C, for curl.
+            /// Keep the fleet running until Ctrl-C, to try it with curl.
             optional --stay
-            /// The seed of the made-up work; 1 by default.
+            /// The seed of the generated workload; 1 by default.
             optional --seed number: u64
         }
     }
--- a/crates/ploverwick/src/flags/settings.rs
+++ b/crates/ploverwick/src/flags/settings.rs
@@ -1,16 +1,16 @@
-//! The grammar of `ploverwick settings`.
+//! The flags and subcommands of `ploverwick settings`.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Works with settings files.
+    /// Commands for settings files.
     cmd settings {
-        /// Reports every finding in a settings file.
+        /// Reports all findings in a settings file.
         cmd check {
             /// The settings file.
             required file: PathBuf
         }
-        /// Prints a commented example with every key.
+        /// Prints a commented example file with all keys.
         cmd example {}
     }
 }
--- a/crates/ploverwick/src/flags/table.rs
+++ b/crates/ploverwick/src/flags/table.rs
@@ -1,60 +1,60 @@
-//! The grammar of `ploverwick table`.
+//! The flags and subcommands of `ploverwick table`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Works with the table.
+    /// Commands for the table.
     cmd table {
-        /// Reports every finding in a table file.
+        /// Reports all findings in a table file.
         cmd check {
             /// The table, as CSV.
             required file: PathBuf
         }
-        /// Shows what differs between two table files. Exits with 1 if something does.
+        /// Shows the differences between two table files. Exits with 1 if there are any.
         cmd diff {
-            /// The earlier table.
+            /// The old table, as CSV.
             required before: PathBuf
-            /// The later table.
+            /// The new table, as CSV.
             required after: PathBuf
         }
-        /// Publishes a table and waits for the verdict and for all daemons.
+        /// Publishes a table, waits for the verdict and then until all daemons have the table in force.
         cmd publish {
             /// The table, as CSV.
             required file: PathBuf
-            /// The version that the file was edited from; 0 for a first table.
+            /// The version that the file is based on; 0 for the first table.
             required --base version: u64
-            /// Who publishes; the environment's USER by default.
+            /// The author of the publication; the environment variable USER by default.
             optional --author name: String
             /// How long to wait for all daemons, in milliseconds; 10000 by default.
             optional --wait-ms millis: u64
-            /// Where to find log and roster, from a daemon's settings file.
+            /// A daemon's settings file to read the addresses of the log and the roster from.
             optional --settings file: PathBuf
-            /// The log's address, in place of the settings'.
+            /// The log's address; overrides the settings file.
             optional --log address: SocketAddr
-            /// The roster's address, in place of the settings'.
+            /// The roster's address; overrides the settings file.
             optional --roster address: SocketAddr
         }
-        /// Shows what is in force, resolved for each adapter.
+        /// Shows the policy in force for each adapter.
         cmd show {
-            /// The time to resolve for, such as 2026-12-02T08:00:00Z; now by default.
+            /// The time at which to resolve it, such as 2026-12-02T08:00:00Z; now by default.
             optional --at time: String
-            /// The hall to resolve for.
+            /// The hall for which to resolve it.
             optional --hall name: String
-            /// Print the table itself as CSV, to be edited and published again.
+            /// Print the table itself as CSV, ready to edit and publish again.
             optional --csv
-            /// Where to find the roster, from a daemon's settings file.
+            /// A daemon's settings file to read the roster's address from.
             optional --settings file: PathBuf
-            /// The roster's address, in place of the settings'.
+            /// The roster's address; overrides the settings file.
             optional --roster address: SocketAddr
         }
-        /// Lists the publications in the log, with their verdicts.
+        /// Lists the table publications in the log, with their verdicts.
         cmd history {
-            /// Print one JSON object a line.
+            /// Print one JSON object per line.
             optional --json
-            /// Where to find the log, from a daemon's settings file.
+            /// A daemon's settings file to read the log's address from.
             optional --settings file: PathBuf
-            /// The log's address, in place of the settings'.
+            /// The log's address; overrides the settings file.
             optional --log address: SocketAddr
         }
     }
--- a/crates/ploverwick/src/main.rs
+++ b/crates/ploverwick/src/main.rs
@@ -1,11 +1,12 @@
-//! The command line: parses arguments and calls the libraries.
+//! The command-line interface.
 //!
-//! Exit status: 0, 1 if the answer is no, 2 if the command could not run.
+//! Exit status: 0 on success, 1 if the result is negative (for example findings in a file, a rejected
+//! publication or a daemon that does not respond), 2 if the command could not run.
 
 mod commands;
 mod flags;
 mod output;
-mod place;
+mod platform;
 
 use std::process::ExitCode;
 
@@ -15,8 +16,9 @@
 use flags::table::{Table, TableCmd};
 use flags::{Ploverwick, PloverwickCmd};
 
-/// How a command ended.
-type Answer = anyhow::Result<bool>;
+/// The result of a command. `Ok(false)` is a negative result, which exits with 1; an error exits
+/// with 2.
+type CommandResult = anyhow::Result<bool>;
 
 fn main() -> ExitCode {
     let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
@@ -35,7 +37,7 @@
     {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("ploverwick: cannot start: {error}");
+            eprintln!("ploverwick: cannot start the async runtime: {error}");
             return ExitCode::from(2);
         }
     };
@@ -49,7 +51,7 @@
     }
 }
 
-/// A command with its arguments.
+/// A parsed command, by the grammar that it belongs to.
 enum Command {
     Top(PloverwickCmd),
     Settings(SettingsCmd),
@@ -70,7 +72,7 @@
     }
 }
 
-/// Returns the command that shows the help which fits the arguments.
+/// Returns the `--help` command of the grammar that the arguments belong to.
 fn help_for(arguments: &[OsString]) -> &'static str {
     match arguments.first().and_then(|first| first.to_str()) {
         Some("settings") => "ploverwick settings --help",
@@ -79,7 +81,7 @@
     }
 }
 
-async fn run(command: Command) -> Answer {
+async fn run(command: Command) -> CommandResult {
     match command {
         Command::Top(command) => run_top(command).await,
         Command::Settings(command) => match command {
@@ -96,13 +98,13 @@
     }
 }
 
-async fn run_top(command: PloverwickCmd) -> Answer {
+async fn run_top(command: PloverwickCmd) -> CommandResult {
     match command {
         PloverwickCmd::Serve(serve) => commands::serve::run(&serve.settings).await,
         PloverwickCmd::Status(status) => commands::status::run(status).await,
         PloverwickCmd::Timeline(timeline) => commands::timeline::run(timeline).await,
         PloverwickCmd::Demo(demo) => commands::demo::run(demo).await,
-        // Both are parsed above; they stand in the grammar for its help.
+        // `parse` handles both; the top-level grammar contains them only so that --help lists them.
         PloverwickCmd::Settings(_) | PloverwickCmd::Table(_) => Ok(true),
     }
 }
--- a/crates/ploverwick/src/output.rs
+++ b/crates/ploverwick/src/output.rs
@@ -1,4 +1,4 @@
-//! Shows things on a terminal or in a pipe.
+//! Formats output and prints it to a terminal or a pipe.
 
 use std::fmt::Write;
 use std::io::{IsTerminal, Write as _};
@@ -8,15 +8,16 @@
 
 const RED: &str = "\x1b[31m";
 const GREEN: &str = "\x1b[32m";
-const PLAIN: &str = "\x1b[0m";
+const RESET: &str = "\x1b[0m";
 
-/// Prints to the standard output. A reader that has gone away, as in `| head`, is no error.
+/// Prints to standard output. Write errors are ignored, because a pipe such as `| head` may close
+/// early.
 pub(crate) fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Lists findings, a line each, with the file's name.
-pub(crate) fn findings(file: &Path, findings: &[Diagnostic]) -> String {
+/// Formats findings, one per line, each prefixed with the file name.
+pub(crate) fn format_findings(file: &Path, findings: &[Diagnostic]) -> String {
     let mut text = String::new();
     for finding in findings {
         let _ = writeln!(text, "{}: {finding}", file.display());
@@ -24,17 +25,17 @@
     text
 }
 
-/// Colours a word if the standard output is a terminal.
-pub(crate) fn verdict(good: bool, word: &str) -> String {
+/// Colours a word green or red if standard output is a terminal.
+pub(crate) fn paint(good: bool, word: &str) -> String {
     if !std::io::stdout().is_terminal() {
         return word.to_owned();
     }
     let colour = if good { GREEN } else { RED };
-    format!("{colour}{word}{PLAIN}")
+    format!("{colour}{word}{RESET}")
 }
 
-/// Lays rows out in columns; the first row is the header.
-pub(crate) fn columns(rows: &[Vec<String>]) -> String {
+/// Aligns rows in columns; the first row is the header.
+pub(crate) fn format_columns(rows: &[Vec<String>]) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or_default();
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
--- a/crates/ploverwick/tests/common/mod.rs
+++ b/crates/ploverwick/tests/common/mod.rs
@@ -1,37 +1,37 @@
-//! What the tests of the command line share.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Utilities shared by the tests of the command line.
+#![allow(dead_code, reason = "each test file uses only some of them")]
 
 pub mod process;
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// How a command ended.
+/// The output of a command.
 #[derive(Debug)]
-pub struct Ended {
+pub struct Output {
     /// The exit status.
     pub status: i32,
-    /// The standard output.
+    /// Standard output.
     pub out: String,
-    /// The standard error.
+    /// Standard error.
     pub err: String,
 }
 
-/// Runs the command line.
-pub fn ploverwick(arguments: &[&str]) -> Ended {
+/// Runs `ploverwick` in the directory of the fixtures.
+pub fn ploverwick(arguments: &[&str]) -> Output {
     let output = Command::new(env!("CARGO_BIN_EXE_ploverwick"))
         .args(arguments)
         .current_dir(fixtures())
         .output()
-        .expect("the program runs");
-    Ended {
+        .expect("run ploverwick");
+    Output {
         status: output.status.code().unwrap_or(-1),
         out: String::from_utf8_lossy(&output.stdout).into_owned(),
         err: String::from_utf8_lossy(&output.stderr).into_owned(),
     }
 }
 
-/// Returns the folder of fixtures, in which commands run.
+/// Returns the directory of the fixtures, which is the working directory of all commands.
 pub fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
--- a/crates/ploverwick/tests/common/process.rs
+++ b/crates/ploverwick/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! A daemon as a process of its own.
+//! Runs daemons as separate processes.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use ploverwick_ports::roster::{InstanceEntry, State};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A daemon as a process of its own. It is killed when this is dropped.
+/// A daemon in a separate process. Dropping it kills the process.
 pub struct Daemon {
     name: String,
     child: Child,
@@ -22,7 +22,7 @@
 
 impl Daemon {
     /// Starts a daemon on free ports.
-    pub fn start(fleet: &Fleet, index: usize, further: &str) -> Self {
+    pub fn start(fleet: &Fleet, index: usize, extra_settings: &str) -> Self {
         let name = format!("entry-{}", index + 1);
         let text = settings(
             &name,
@@ -30,12 +30,12 @@
             fleet.log_address(),
             fleet.roster_address(),
         );
-        Self::spawn(name, &format!("{text}\n{further}"))
+        Self::spawn(name, &format!("{text}\n{extra_settings}"))
     }
 
-    /// Starts the next life of a daemon, on the same ports.
-    pub fn start_again(fleet: &Fleet, before: &Self, further: &str) -> Self {
-        let name = before.name.clone();
+    /// Starts the next incarnation of a daemon on the same ports.
+    pub fn restart(fleet: &Fleet, previous: &Self, extra_settings: &str) -> Self {
+        let name = previous.name.clone();
         let text = settings(
             &name,
             "charguia",
@@ -44,22 +44,22 @@
         )
         .replace(
             "callers = \"127.0.0.1:0\"",
-            &format!("callers = \"{}\"", before.callers),
+            &format!("callers = \"{}\"", previous.callers),
         )
         .replace(
             "peers = \"127.0.0.1:0\"",
-            &format!("peers = \"{}\"", before.peers),
+            &format!("peers = \"{}\"", previous.peers),
         )
         .replace(
             "admin = \"127.0.0.1:0\"",
-            &format!("admin = \"{}\"", before.admin),
+            &format!("admin = \"{}\"", previous.admin),
         );
-        Self::spawn(name, &format!("{text}\n{further}"))
+        Self::spawn(name, &format!("{text}\n{extra_settings}"))
     }
 
     fn spawn(name: String, settings: &str) -> Self {
         let file = std::env::temp_dir().join(format!("{name}-{}.toml", std::process::id()));
-        std::fs::write(&file, settings).expect("the settings are written");
+        std::fs::write(&file, settings).expect("write the settings");
         let mut child = Command::new(env!("CARGO_BIN_EXE_ploverwick"))
             .arg("serve")
             .arg("--settings")
@@ -67,45 +67,48 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the daemon starts");
-        let out = child.stdout.take().expect("the output is piped");
-        let mut lines = BufReader::new(out).lines();
-        let mut address = |what: &str| -> SocketAddr {
-            let line = lines.next().expect("there is a line").expect("it is text");
-            let text = line.strip_prefix(what).expect("the line names the address");
-            text.trim().parse().expect("it is an address")
+            .expect("start the daemon");
+        let stdout = child.stdout.take().expect("stdout is piped");
+        let mut lines = BufReader::new(stdout).lines();
+        let mut read_address = |label: &str| -> SocketAddr {
+            let line = lines
+                .next()
+                .expect("missing output line")
+                .expect("output is not UTF-8");
+            let address = line.strip_prefix(label).expect("unexpected output line");
+            address.trim().parse().expect("invalid address")
         };
         Self {
-            callers: address("callers"),
-            peers: address("peers"),
-            admin: address("admin"),
+            callers: read_address("callers"),
+            peers: read_address("peers"),
+            admin: read_address("admin"),
             name,
             child,
             file,
         }
     }
 
-    /// Returns where callers connect.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        kill_process(pid.expect("the process has an id"), signal).expect("it is ours");
+        kill_process(pid.expect("invalid process id"), signal).expect("send the signal");
     }
 
-    /// Stops the process, without it noticing.
-    pub fn stop(&self) {
+    /// Suspends the process with SIGSTOP, which it cannot observe.
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets the process go on.
-    pub fn go_on(&self) {
+    /// Resumes the process with SIGCONT.
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks the process to leave and returns its exit status.
+    /// Sends SIGTERM, waits for the process to drain and returns its exit status.
     pub fn terminate(&mut self) -> Option<i32> {
         self.signal(Signal::TERM);
         self.child.wait().ok()?.code()
@@ -125,17 +128,17 @@
     }
 }
 
-/// Has the platform list the daemon.
-pub async fn adopt(fleet: &mut Fleet, daemon: &Daemon) {
+/// Adds the daemon to the platform's roster.
+pub async fn add_to_roster(fleet: &mut Fleet, daemon: &Daemon) {
     let entry = InstanceEntry {
-        name: Instance::new(&daemon.name).expect("the text is a name"),
+        name: Instance::new(&daemon.name).expect("invalid name"),
         state: State::Live,
-        failure_domain: Domain::new("charguia").expect("the text is a name"),
+        failure_domain: Domain::new("charguia").expect("invalid name"),
         peers: daemon.peers,
         admin: daemon.admin,
     };
     fleet
         .adopt(entry, daemon.callers)
         .await
-        .expect("the list answers");
+        .expect("update the roster");
 }
--- a/crates/ploverwick/tests/process_faults.rs
+++ b/crates/ploverwick/tests/daemon_crashes.rs
@@ -1,5 +1,5 @@
-//! Daemons as processes of their own, killed, stopped and continued under load. The engines' own
-//! records then show no broken promise.
+//! Daemons in separate processes are killed and restarted, or suspended and resumed, under load. The
+//! engines' own records must then show that no delivery guarantee was violated.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use common::process::{Daemon, adopt};
+use common::process::{Daemon, add_to_roster};
 use googletest::prelude::*;
 use ploverwick_demo::caller::{Outcome, perform};
 use ploverwick_demo::fleet::{Fleet, Plan};
@@ -21,63 +21,63 @@
 const CALLERS: usize = 16;
 const ADAPTERS: usize = 12;
 const FAULTS: usize = 6;
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How long a daemon stays stopped: longer than it takes to be counted as gone.
-const STOPPED: Duration = Duration::from_millis(3500);
-const BETWEEN: Duration = Duration::from_millis(1200);
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a daemon is suspended: longer than it takes its peers to consider it gone.
+const PAUSE: Duration = Duration::from_millis(3500);
+const FAULT_INTERVAL: Duration = Duration::from_millis(1200);
 
-/// Settings that make faults show soon.
-const QUICK: &str = "[membership]\nbeat_ms = 200\nprobe_timeout_ms = 100\nsuspect_ms = 800\n\
+/// Short intervals and timeouts, so that faults are detected quickly.
+const SHORT_TIMEOUTS: &str = "[membership]\nbeat_ms = 200\nprobe_timeout_ms = 100\nsuspect_ms = 800\n\
                      [ownership]\norder_lag_ms = 500\n";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn kill_and_stop() {
+async fn restarted_and_suspended_daemons() {
     let mut fleet = Fleet::start(Plan {
         daemons: 0,
         engines: 4,
         ..Plan::default()
     })
     .await
-    .expect("the stand-ins start");
-    let table = table(1).expect("the table is good");
+    .expect("start the stand-ins");
+    let table = table(1).expect("invalid table");
     publish_table(&fleet, Offset(0), &table)
         .await
-        .expect("it is accepted");
+        .expect("publish the table");
     let mut daemons = Vec::new();
     for index in 0..3 {
-        let daemon = Daemon::start(&fleet, index, QUICK);
-        adopt(&mut fleet, &daemon).await;
+        let daemon = Daemon::start(&fleet, index, SHORT_TIMEOUTS);
+        add_to_roster(&mut fleet, &daemon).await;
         daemons.push(daemon);
     }
     fleet
-        .wait_ready(PATIENCE)
+        .wait_ready(TIMEOUT)
         .await
-        .expect("the fleet is ready");
+        .expect("the fleet is not ready in time");
     let stop = Arc::new(AtomicBool::new(false));
     let mut callers = start_callers(&fleet, &stop);
     for fault in 0..FAULTS {
-        tokio::time::sleep(BETWEEN).await;
+        tokio::time::sleep(FAULT_INTERVAL).await;
         let index = fault % daemons.len();
         if fault % 2 == 0 {
-            daemons[index].stop();
-            tokio::time::sleep(STOPPED).await;
-            daemons[index].go_on();
+            daemons[index].pause();
+            tokio::time::sleep(PAUSE).await;
+            daemons[index].resume();
         } else {
-            // A new life takes the place of the killed one, under the same name and ports.
+            // The next incarnation uses the same name and ports.
             daemons[index].kill();
-            daemons[index] = Daemon::start_again(&fleet, &daemons[index], QUICK);
+            daemons[index] = Daemon::restart(&fleet, &daemons[index], SHORT_TIMEOUTS);
         }
     }
     fleet
-        .wait_ready(PATIENCE)
+        .wait_ready(TIMEOUT)
         .await
-        .expect("the fleet is ready again");
+        .expect("the fleet did not recover in time");
     stop.store(true, Ordering::Release);
     let mut outcomes = Vec::new();
     while let Some(joined) = callers.join_next().await {
-        outcomes.extend(joined.expect("a caller ends"));
+        outcomes.extend(joined.expect("a caller panicked"));
     }
-    let records = fleet.records().await.expect("the engines answer");
+    let records = fleet.records().await.expect("read the engines' records");
     let tally = count(&outcomes, &records);
     println!("{tally:?}");
     assert_that!(tally.wrong_adapter, eq(0));
@@ -100,9 +100,9 @@
                 if stop.load(Ordering::Acquire) {
                     break;
                 }
-                let key = key(&work);
-                let done = perform(&client, &entries, caller, &work, key.as_deref()).await;
-                outcomes.push(done);
+                let key = idempotency_key(&work);
+                let outcome = perform(&client, &entries, caller, &work, key.as_deref()).await;
+                outcomes.push(outcome);
             }
             outcomes
         });
@@ -110,7 +110,7 @@
     callers
 }
 
-fn key(work: &Work) -> Option<String> {
+fn idempotency_key(work: &Work) -> Option<String> {
     work.non_idempotent
         .then(|| uuid::Uuid::now_v7().to_string())
 }
