--- a/crates/ploverwick/src/commands/history.rs
+++ b/crates/ploverwick/src/commands/history.rs
@@ -25,19 +25,19 @@
 /// Prints the table publications in the log.
 pub(crate) async fn run(flags: History) -> CommandResult {
     let log = platform::log_client(flags.log, flags.settings.as_ref())?;
-    let mut publications = Vec::new();
+    let mut history = Vec::new();
     let mut stream = Stream::default();
     stream
         .read(&log, Duration::ZERO, |entry, _| {
-            publications.push(publication(&entry))
+            history.push(publication(&entry));
         })
         .await?;
     if flags.json {
-        for publication in &publications {
+        for publication in &history {
             output::print(&format!("{}\n", serde_json::to_string(publication)?));
         }
     } else {
-        output::print(&format_history(&publications));
+        output::print(&format_history(&history));
     }
     Ok(true)
 }
@@ -73,13 +73,13 @@
     }
 }
 
-fn format_history(publications: &[Publication]) -> String {
-    if publications.is_empty() {
+fn format_history(history: &[Publication]) -> String {
+    if history.is_empty() {
         return "nothing was published\n".to_owned();
     }
     let header = ["offset", "at", "kind", "author", "base", "rows", "verdict"];
     let mut rows = vec![header.map(String::from).to_vec()];
-    for publication in publications {
+    for publication in history {
         rows.push(vec![
             publication.offset.to_string(),
             publication.at.clone(),
--- a/crates/ploverwick_bench/src/capacity/claims.rs
+++ b/crates/ploverwick_bench/src/capacity/claims.rs
@@ -1,4 +1,4 @@
-//! Appends to the log as non-idempotent requests grow.
+//! The rate of log appends as a function of the rate of non-idempotent requests.
 
 use std::time::{Duration, Instant};
 
@@ -14,33 +14,33 @@
 use ploverwick_standin::log::Stats;
 use tokio::task::JoinSet;
 
-use super::Slope;
+use super::Series;
 use crate::system;
 
 const DAEMONS: usize = 7;
-const RATES: [u64; 5] = [20, 40, 80, 160, 290];
-/// A tenth of the requests at the two-year size.
-const TARGET: f64 = 290.0;
-const PATIENCE: Duration = Duration::from_secs(20);
+const REQUESTS_PER_SECOND: [u64; 5] = [20, 40, 80, 160, 290];
+/// A tenth of the request rate expected in two years.
+const TARGET_REQUESTS_PER_SECOND: f64 = 290.0;
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Measures appends at five rates of requests.
+/// Measures the rate of appends at five request rates.
 ///
 /// # Errors
-/// Fails if the fleet does not start or a request is not answered.
-pub(crate) fn measure(seconds: u64) -> Result<Vec<Slope>> {
+/// Fails if the fleet does not start or a request fails.
+pub(crate) fn measure(seconds: u64) -> Result<Vec<Series>> {
     let runtime = system::runtime("claims")?;
-    let points = runtime.block_on(points(seconds))?;
+    let points = runtime.block_on(measure_points(seconds))?;
     runtime.shutdown_background();
-    Ok(vec![Slope {
+    Ok(vec![Series {
         name: "claims-appends",
-        what: "log: appends a second",
-        size: "non-idempotent requests a second",
+        title: "log: appends a second",
+        x_label: "non-idempotent requests a second",
         points,
-        target: TARGET,
+        target: TARGET_REQUESTS_PER_SECOND,
     }])
 }
 
-async fn points(seconds: u64) -> Result<Vec<(f64, f64)>> {
+async fn measure_points(seconds: u64) -> Result<Vec<(f64, f64)>> {
     let fleet = Fleet::start(Plan {
         daemons: DAEMONS,
         engines: 4,
@@ -54,29 +54,29 @@
     })
     .await?;
     publish_table(&fleet, Offset(0), &table(1)?).await?;
-    fleet.wait_ready(PATIENCE).await?;
-    load(&fleet, 50, 2).await?;
+    fleet.wait_ready(TIMEOUT).await?;
+    send_requests(&fleet, 50, 2).await?;
     let mut points = Vec::new();
-    for rate in RATES {
+    for rate in REQUESTS_PER_SECOND {
         eprintln!("{rate} non-idempotent requests a second for {seconds} s");
-        let before = appends(&fleet).await?;
+        let before = count_appends(&fleet).await?;
         let started = Instant::now();
-        load(&fleet, rate, seconds).await?;
-        let took = started.elapsed().as_secs_f64();
-        let appended = appends(&fleet).await? - before;
-        points.push((rate as f64, appended as f64 / took));
+        send_requests(&fleet, rate, seconds).await?;
+        let elapsed = started.elapsed().as_secs_f64();
+        let appended = count_appends(&fleet).await? - before;
+        points.push((rate as f64, appended as f64 / elapsed));
     }
     Ok(points)
 }
 
-async fn appends(fleet: &Fleet) -> Result<u64> {
+async fn count_appends(fleet: &Fleet) -> Result<u64> {
     let call = Client::new()
-        .call::<(), Stats>(Method::GET, fleet.log_address(), "/stats", None, PATIENCE)
+        .call::<(), Stats>(Method::GET, fleet.log_address(), "/stats", None, TIMEOUT)
         .await;
-    Ok(call.context("read the log's counts")?.appends)
+    Ok(call.context("read the log's statistics")?.appends)
 }
 
-async fn load(fleet: &Fleet, rate: u64, seconds: u64) -> Result<()> {
+async fn send_requests(fleet: &Fleet, rate: u64, seconds: u64) -> Result<()> {
     let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / rate as f64));
     let client = Client::new();
     let entries = fleet.callers();
@@ -103,10 +103,7 @@
     }
     while let Some(got) = tasks.join_next().await {
         let got = got?;
-        anyhow::ensure!(
-            matches!(got, Got::Whole(_)),
-            "a request was not answered: {got:?}"
-        );
+        anyhow::ensure!(matches!(got, Got::Whole(_)), "a request failed: {got:?}");
     }
     Ok(())
 }
--- a/crates/ploverwick_bench/src/capacity/decisions.rs
+++ b/crates/ploverwick_bench/src/capacity/decisions.rs
@@ -1,4 +1,4 @@
-//! The cost of single decisions, without any input or output.
+//! The CPU and memory cost of single decisions, without I/O.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -16,73 +16,73 @@
 use ploverwick_table::patch::{Cell, Change, Edit};
 use ploverwick_table::{Column, Subject, Table, parse, patch};
 
-use super::Slope;
+use super::Series;
 use crate::system;
 
-const ROWS: [usize; 4] = [2_000, 5_000, 10_000, 15_000];
-const ENDPOINTS: [usize; 4] = [87, 290, 580, 870];
-const KEYS: [usize; 4] = [20_000, 60_000, 120_000, 174_000];
-const QUEUES: [usize; 4] = [32, 64, 128, 256];
-const REPEATS: u32 = 200;
+const TABLE_ROWS: [usize; 4] = [2_000, 5_000, 10_000, 15_000];
+const ENDPOINT_COUNTS: [usize; 4] = [87, 290, 580, 870];
+const KEY_COUNTS: [usize; 4] = [20_000, 60_000, 120_000, 174_000];
+const QUEUE_LENGTHS: [usize; 4] = [32, 64, 128, 256];
+const REPETITIONS: u32 = 200;
 
-/// Measures every decision at four sizes.
+/// Measures each decision at four sizes.
 ///
 /// # Errors
-/// Fails if a made-up table has a finding.
-pub(crate) fn measure() -> Result<Vec<Slope>> {
+/// Fails if a generated table is invalid.
+pub(crate) fn measure() -> Result<Vec<Series>> {
     let mut patches = Vec::new();
     let mut snapshots = Vec::new();
-    for rows in ROWS {
-        let (micros, bytes) = table(rows)?;
-        patches.push((rows as f64, micros));
-        snapshots.push((rows as f64, bytes / 1024.0));
+    for rows in TABLE_ROWS {
+        let (patch_micros, snapshot_bytes) = measure_table(rows)?;
+        patches.push((rows as f64, patch_micros));
+        snapshots.push((rows as f64, snapshot_bytes / 1024.0));
     }
-    let ranked = ENDPOINTS.map(|count| (count as f64, ranking(count)));
-    let (memory, folding): (Vec<_>, Vec<_>) = KEYS
+    let ranked = ENDPOINT_COUNTS.map(|count| (count as f64, measure_ranking(count)));
+    let (memory, folding): (Vec<_>, Vec<_>) = KEY_COUNTS
         .iter()
         .map(|keys| {
-            let (bytes, nanos) = claims(*keys);
-            ((*keys as f64, bytes), (*keys as f64, nanos))
+            let (mib, micros) = measure_claims(*keys);
+            ((*keys as f64, mib), (*keys as f64, micros))
         })
         .unzip();
-    let steps = QUEUES.map(|queue| (queue as f64, step(queue)));
+    let steps = QUEUE_LENGTHS.map(|queue| (queue as f64, measure_step(queue)));
     Ok(vec![
-        slope(
+        series(
             "table-patch",
             "table reader: a patch applied, µs",
             "rows",
             patches,
             15_000.0,
         ),
-        slope(
+        series(
             "table-snapshot",
             "table reader: a snapshot, KiB",
             "rows",
             snapshots,
             15_000.0,
         ),
-        slope(
+        series(
             "placement",
             "entry: endpoints ranked, µs",
             "endpoints",
             ranked.to_vec(),
             870.0,
         ),
-        slope(
+        series(
             "claims-memory",
             "scribe: keys held, MiB",
             "keys",
             memory,
             174_000.0,
         ),
-        slope(
+        series(
             "claims-fold",
             "scribe: a claim folded, µs",
             "keys",
             folding,
             174_000.0,
         ),
-        slope(
+        series(
             "owner-step",
             "owner: a step with waiting requests, µs",
             "waiting",
@@ -92,28 +92,28 @@
     ])
 }
 
-fn slope(
+fn series(
     name: &'static str,
-    what: &'static str,
-    size: &'static str,
+    title: &'static str,
+    x_label: &'static str,
     points: Vec<(f64, f64)>,
     target: f64,
-) -> Slope {
-    Slope {
+) -> Series {
+    Series {
         name,
-        what,
-        size,
+        title,
+        x_label,
         points,
         target,
     }
 }
 
-fn micros(span: Duration, count: u32) -> f64 {
-    span.as_secs_f64() * 1e6 / f64::from(count)
+fn mean_micros(elapsed: Duration, count: u32) -> f64 {
+    elapsed.as_secs_f64() * 1e6 / f64::from(count)
 }
 
-/// Returns the time of a patch in µs and the size of a snapshot in bytes.
-fn table(rows: usize) -> Result<(f64, f64)> {
+/// Returns the time to apply a patch in µs and the size of a snapshot in bytes.
+fn measure_table(rows: usize) -> Result<(f64, f64)> {
     let mut csv = String::from("name,version,weight,priority\n*,,1,4\n");
     for index in 0..rows {
         let _ = writeln!(csv, "adapter-{index:05},v1,1,5");
@@ -128,10 +128,10 @@
     };
     history.apply(Offset(1), &Record::Patch(first));
     let started = Instant::now();
-    for turn in 0..REPEATS {
-        let offset = Offset(u64::from(turn) + 2);
+    for repetition in 0..REPETITIONS {
+        let offset = Offset(u64::from(repetition) + 2);
         let edit = Edit {
-            subject: Subject::Adapter(Adapter::new(&format!("adapter-{turn:05}"))?),
+            subject: Subject::Adapter(Adapter::new(&format!("adapter-{repetition:05}"))?),
             change: Change::Set(vec![Cell {
                 column: "weight"
                     .parse::<Column>()
@@ -140,19 +140,19 @@
             }]),
         };
         let record = Record::Patch(Patch {
-            id: turn.to_string(),
+            id: repetition.to_string(),
             author: "bench".to_owned(),
             base: Offset(offset.0 - 1),
             edits: vec![edit],
         });
         black_box(history.apply(offset, &record));
     }
-    let time = micros(started.elapsed(), REPEATS);
+    let time = mean_micros(started.elapsed(), REPETITIONS);
     let snapshot = serde_json::to_vec(&history.snapshot())?;
     Ok((time, snapshot.len() as f64))
 }
 
-fn ranking(count: usize) -> f64 {
+fn measure_ranking(count: usize) -> f64 {
     let names: Vec<String> = (0..count)
         .map(|index| format!("endpoint-{index}"))
         .collect();
@@ -161,28 +161,28 @@
         .map(|name| Candidate { name, weight: 1.0 })
         .collect();
     let started = Instant::now();
-    for turn in 0..REPEATS {
+    for repetition in 0..REPETITIONS {
         black_box(rank(
-            &format!("adapter-{turn}@v1"),
+            &format!("adapter-{repetition}@v1"),
             &candidates,
             candidates.len(),
         ));
     }
-    micros(started.elapsed(), REPEATS)
+    mean_micros(started.elapsed(), REPETITIONS)
 }
 
-/// Returns the memory of held keys in MiB and the time of a claim in µs.
-fn claims(keys: usize) -> (f64, f64) {
-    let before = system::resident().unwrap_or_default();
-    let caller = Caller::new("caller").expect("the constant is a name");
+/// Returns the memory used by the held keys in MiB and the time to apply a claim in µs.
+fn measure_claims(keys: usize) -> (f64, f64) {
+    let memory_before = system::resident_bytes().unwrap_or_default();
+    let caller = Caller::new("caller").expect("invalid name");
     let life = Life {
-        instance: Instance::new("entry-1").expect("the constant is a name"),
+        instance: Instance::new("entry-1").expect("invalid name"),
         incarnation: Incarnation(1),
     };
     let records: Vec<Claim> = (0..keys)
         .map(|index| Claim {
             key: Key::digest(&caller, &index.to_string()),
-            request: Request::new(&format!("entry-1-1796220000000-{index}")).expect("it is a name"),
+            request: Request::new(&format!("entry-1-1796220000000-{index}")).expect("invalid name"),
             life: life.clone(),
             forfeit: false,
         })
@@ -193,27 +193,27 @@
         partition.apply(Offset(index as u64 + 1), 1, &record);
     }
     let time = started.elapsed().as_secs_f64() * 1e6 / keys as f64;
-    let grown = system::resident()
+    let memory_growth = system::resident_bytes()
         .unwrap_or_default()
-        .saturating_sub(before);
+        .saturating_sub(memory_before);
     black_box(partition.len());
-    (grown as f64 / f64::from(1 << 20), time)
+    (memory_growth as f64 / f64::from(1 << 20), time)
 }
 
-/// Returns the time of a step, in µs, in which nothing can be done for many waiting requests.
-fn step(queue: usize) -> f64 {
+/// Returns the time in µs of a scheduler step that can make no progress on any waiting request.
+fn measure_step(queue: usize) -> f64 {
     let variant = |index: usize| Variant {
-        adapter: Adapter::new(&format!("adapter-{index}")).expect("the text is a name"),
-        version: Version::new("v1").expect("the constant is a name"),
+        adapter: Adapter::new(&format!("adapter-{index}")).expect("invalid name"),
+        version: Version::new("v1").expect("invalid name"),
     };
-    let pause = Duration::from_secs(1);
-    let mut machine = Scheduler::new(Config {
+    let interval = Duration::from_secs(1);
+    let mut scheduler = Scheduler::new(Config {
         queue_capacity: queue,
-        report_lag: pause,
-        order_lag: pause,
-        drain_after: pause,
-        retry_after: pause,
-        load_backoff: pause,
+        report_lag: interval,
+        order_lag: interval,
+        drain_after: interval,
+        retry_after: interval,
+        load_backoff: interval,
     });
     let used = (0..8).map(|index| ReportedSlot {
         variant: variant(1000 + index),
@@ -226,10 +226,10 @@
         batch: 64,
         used: used.collect(),
     };
-    machine.report(&report, true, Moment(0));
+    scheduler.report(&report, true, Moment(0));
     for index in 0..queue {
-        machine.submit(Job {
-            request: Request::new(&format!("r{index}")).expect("the text is a name"),
+        scheduler.submit(Job {
+            request: Request::new(&format!("r{index}")).expect("invalid name"),
             variant: variant(index % 64),
             priority: 5,
             weight: 1.0,
@@ -243,8 +243,8 @@
         ..Rights::default()
     };
     let started = Instant::now();
-    for turn in 0..REPEATS {
-        black_box(machine.step(&rights, Moment(u64::from(turn))));
+    for repetition in 0..REPETITIONS {
+        black_box(scheduler.step(&rights, Moment(u64::from(repetition))));
     }
-    micros(started.elapsed(), REPEATS)
+    mean_micros(started.elapsed(), REPETITIONS)
 }
--- a/crates/ploverwick_bench/src/capacity/idle.rs
+++ b/crates/ploverwick_bench/src/capacity/idle.rs
@@ -1,4 +1,4 @@
-//! Whole daemons without requests: what their control costs as the fleet grows.
+//! The cost of control traffic in idle daemons as a function of the fleet size.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -14,54 +14,54 @@
 use ploverwick_table::parse;
 use tokio::runtime::Runtime;
 
-use super::Slope;
+use super::Series;
 use crate::system;
 
-const SIZES: [usize; 5] = [4, 8, 16, 32, 64];
-/// Endpoints for each daemon, as at the two-year size: 870 for 330.
+const FLEET_SIZES: [usize; 5] = [4, 8, 16, 32, 64];
+/// The ratio expected in two years: 870 endpoints for 330 daemons.
 const ENDPOINTS_PER_DAEMON: f64 = 870.0 / 330.0;
 const ROWS: usize = 15_000;
-const TARGET: f64 = 330.0;
-const SETTLE: Duration = Duration::from_secs(6);
-const THREADS: &str = "daemons";
+const TARGET_DAEMONS: f64 = 330.0;
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+const DAEMON_THREADS: &str = "daemons";
 
-/// What a fleet of one size costs.
-struct Cost {
+/// The cost per daemon in a fleet of a given size.
+struct DaemonCost {
     core_percent: f64,
     kib_per_s: f64,
     memory_mib: f64,
 }
 
-/// Measures fleets of five sizes.
+/// Measures idle fleets of five sizes.
 ///
 /// # Errors
 /// Fails if a fleet does not start.
-pub(crate) fn measure(seconds: u64) -> Result<Vec<Slope>> {
+pub(crate) fn measure(seconds: u64) -> Result<Vec<Series>> {
     let mut core = Vec::new();
     let mut bytes = Vec::new();
     let mut memory = Vec::new();
-    for size in SIZES {
+    for size in FLEET_SIZES {
         eprintln!("{size} idle daemons for {seconds} s");
-        let cost = fleet(size, seconds)?;
+        let cost = measure_fleet(size, seconds)?;
         core.push((size as f64, cost.core_percent));
         bytes.push((size as f64, cost.kib_per_s));
         memory.push((size as f64, cost.memory_mib));
     }
-    let slope = |name, what, points| Slope {
+    let series = |name, title, points| Series {
         name,
-        what,
-        size: "daemons",
+        title,
+        x_label: "daemons",
         points,
-        target: TARGET,
+        target: TARGET_DAEMONS,
     };
     Ok(vec![
-        slope("control-core", "control: % of a core a daemon", core),
-        slope(
+        series("control-core", "control: % of a core a daemon", core),
+        series(
             "control-bytes",
             "control: KiB/s a daemon, all headers included",
             bytes,
         ),
-        slope(
+        series(
             "control-memory",
             "memory: MiB a daemon, table of 15,000 rows",
             memory,
@@ -69,10 +69,10 @@
     ])
 }
 
-fn fleet(size: usize, seconds: u64) -> Result<Cost> {
-    let outside = system::runtime("standins")?;
-    let inside = system::runtime(THREADS)?;
-    let mut fleet = outside.block_on(Fleet::start(Plan {
+fn measure_fleet(size: usize, seconds: u64) -> Result<DaemonCost> {
+    let standin_runtime = system::runtime("standins")?;
+    let daemon_runtime = system::runtime(DAEMON_THREADS)?;
+    let mut fleet = standin_runtime.block_on(Fleet::start(Plan {
         daemons: 0,
         engines: (size as f64 * ENDPOINTS_PER_DAEMON).round() as usize,
         engine: engine::Config {
@@ -82,33 +82,33 @@
         },
         ..Plan::default()
     }))?;
-    outside.block_on(publish(&fleet))?;
-    let before = system::resident()?;
-    let daemons = start(&inside, &outside, &mut fleet, size)?;
-    outside.block_on(fleet.wait_ready(Duration::from_mins(1)))?;
-    std::thread::sleep(SETTLE);
-    let grown = system::resident()?.saturating_sub(before);
-    let time = system::threads_time(THREADS)?;
-    let moved = system::loopback_bytes()?;
+    standin_runtime.block_on(publish_large_table(&fleet))?;
+    let memory_before = system::resident_bytes()?;
+    let daemons = start_daemons(&daemon_runtime, &standin_runtime, &mut fleet, size)?;
+    standin_runtime.block_on(fleet.wait_ready(Duration::from_mins(1)))?;
+    std::thread::sleep(SETTLE_TIME);
+    let memory_growth = system::resident_bytes()?.saturating_sub(memory_before);
+    let cpu_time_before = system::thread_cpu_time(DAEMON_THREADS)?;
+    let bytes_before = system::loopback_bytes()?;
     let started = Instant::now();
     std::thread::sleep(Duration::from_secs(seconds));
-    let took = started.elapsed().as_secs_f64();
-    let busy = system::threads_time(THREADS)?
-        .saturating_sub(time)
+    let elapsed = started.elapsed().as_secs_f64();
+    let cpu_time = system::thread_cpu_time(DAEMON_THREADS)?
+        .saturating_sub(cpu_time_before)
         .as_secs_f64();
-    let moved = system::loopback_bytes()? - moved;
+    let bytes = system::loopback_bytes()? - bytes_before;
     drop(daemons);
-    inside.shutdown_background();
-    outside.shutdown_background();
-    let each = |value: f64| value / size as f64;
-    Ok(Cost {
-        core_percent: each(busy / took * 100.0),
-        kib_per_s: each(moved as f64 / took / 1024.0),
-        memory_mib: each(grown as f64 / f64::from(1 << 20)),
+    daemon_runtime.shutdown_background();
+    standin_runtime.shutdown_background();
+    let per_daemon = |value: f64| value / size as f64;
+    Ok(DaemonCost {
+        core_percent: per_daemon(cpu_time / elapsed * 100.0),
+        kib_per_s: per_daemon(bytes as f64 / elapsed / 1024.0),
+        memory_mib: per_daemon(memory_growth as f64 / f64::from(1 << 20)),
     })
 }
 
-async fn publish(fleet: &Fleet) -> Result<()> {
+async fn publish_large_table(fleet: &Fleet) -> Result<()> {
     let mut csv = String::from("name,version,weight,priority\n*,,1,4\n");
     for index in 0..ROWS {
         let _ = writeln!(csv, "adapter-{index:05},v1,1,5");
@@ -117,9 +117,9 @@
     publish_table(fleet, Offset(0), &table).await.map(drop)
 }
 
-fn start(
-    inside: &Runtime,
-    outside: &Runtime,
+fn start_daemons(
+    daemon_runtime: &Runtime,
+    standin_runtime: &Runtime,
     fleet: &mut Fleet,
     size: usize,
 ) -> Result<Vec<Daemon>> {
@@ -127,7 +127,7 @@
     let mut daemons = Vec::new();
     for index in 0..size {
         let name = format!("entry-{index}");
-        // The intervals that the capacity page proposes for the two-year size.
+        // The intervals that the capacity page recommends for the fleet size expected in two years.
         let text = settings(&name, "charguia", log, roster)
             .replace("roster_poll_ms = 100", "roster_poll_ms = 2000");
         let text = format!(
@@ -135,7 +135,7 @@
              [membership]\nbeat_ms = 1000\nprobe_timeout_ms = 500\nsuspect_ms = 3000\n"
         );
         let settings = read_settings(&text)?;
-        let daemon = inside
+        let daemon = daemon_runtime
             .block_on(Daemon::start(settings))
             .with_context(|| format!("start {name}"))?;
         let entry = InstanceEntry {
@@ -145,7 +145,7 @@
             peers: daemon.peers(),
             admin: daemon.admin(),
         };
-        outside.block_on(fleet.adopt(entry, daemon.callers()))?;
+        standin_runtime.block_on(fleet.adopt(entry, daemon.callers()))?;
         daemons.push(daemon);
     }
     Ok(daemons)
--- a/crates/ploverwick_bench/src/decide.rs
+++ b/crates/ploverwick_bench/src/decide.rs
@@ -1,4 +1,4 @@
-//! The cost of what the gateway decides for one request, without any input or output.
+//! The cost of the gateway's decisions for one request, without I/O.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -11,21 +11,21 @@
 use ploverwick_quota::{Allocation, GrantRequest, Lease, Pool};
 use ploverwick_routes::{Declaration, KeyDigest, Organisation, Organisations, Quota, Unit};
 
-/// Endpoints and peers that report, in fleets of today and of the largest kind.
-const FLEETS: [(usize, usize); 2] = [(90, 26), (3_000, 100)];
-/// Organisations, in configurations of today and of the largest kind.
-const ORGANISATIONS: [usize; 2] = [16, 10_000];
-/// Endpoints that hold one adapter.
+/// The numbers of endpoints and of reporting peers in a current fleet and in the largest one.
+const FLEET_SIZES: [(usize, usize); 2] = [(90, 26), (3_000, 100)];
+/// The numbers of organisations in a current configuration and in the largest one.
+const ORGANISATION_COUNTS: [usize; 2] = [16, 10_000];
+/// The number of endpoints that hold the adapter.
 const HOLDERS: usize = 3;
 const NOW: Moment = Moment(10_000);
 
-/// Prints each decision's mean cost in nanoseconds.
-pub(crate) fn run(times: u32) {
-    for count in ORGANISATIONS {
+/// Measures each decision and prints its mean time in nanoseconds.
+pub(crate) fn run(iterations: u32) {
+    for count in ORGANISATION_COUNTS {
         let organisations = organisations(count);
-        print(
+        measure(
             &format!("key of {count} organisations found"),
-            times,
+            iterations,
             || {
                 let key = KeyDigest::of(black_box(b"asnmgkcuyj8pjbvk9m68"));
                 black_box(organisations.find_by_key(&key));
@@ -34,25 +34,25 @@
     }
     let name: Arc<str> = Arc::from("o0");
     let mut allocation = allocation(&name);
-    print("quota, granted ahead", times, || {
+    measure("quota, granted ahead", iterations, || {
         black_box(allocation.acquire(&name, &quota(), 1, NOW));
         allocation.refund(&name, 1, NOW);
     });
     let mut pool = pool();
-    let ask = ask(&name, 1);
-    print("quota, asked of a pool of 74 parts", times, || {
-        black_box(pool.grant(&ask, &quota(), NOW));
+    let grant_request = grant_request(&name, 1);
+    measure("quota, asked of a pool of 74 parts", iterations, || {
+        black_box(pool.grant(&grant_request, &quota(), NOW));
     });
-    for (endpoints, peers) in FLEETS {
+    for (endpoints, peers) in FLEET_SIZES {
         let fleet = fleet(endpoints, peers);
         let holders: Vec<Arc<str>> = (0..HOLDERS).map(|n| id(n * endpoints / HOLDERS)).collect();
-        let choice = format!("endpoint of {HOLDERS} holders chosen, {endpoints} endpoints");
-        print(&choice, times, || {
+        let label = format!("endpoint of {HOLDERS} holders chosen, {endpoints} endpoints");
+        measure(&label, iterations, || {
             black_box(fleet.best(&QUERY, holders.iter(), NOW));
         });
-        print(
+        measure(
             &format!("{endpoints} endpoints ranked"),
-            times / 100,
+            iterations / 100,
             || {
                 black_box(fleet.rank(&QUERY, NOW));
             },
@@ -60,13 +60,13 @@
     }
 }
 
-fn print(what: &str, times: u32, mut step: impl FnMut()) {
-    let begun = Instant::now();
-    for _ in 0..times {
+fn measure(label: &str, iterations: u32, mut step: impl FnMut()) {
+    let started = Instant::now();
+    for _ in 0..iterations {
         step();
     }
-    let nanos = begun.elapsed().as_nanos() / u128::from(times.max(1));
-    println!("{what:48} {nanos:>10} ns");
+    let nanos = started.elapsed().as_nanos() / u128::from(iterations.max(1));
+    println!("{label:48} {nanos:>10} ns");
 }
 
 fn organisations(count: usize) -> Organisations {
@@ -89,10 +89,10 @@
     }
 }
 
-fn ask(name: &Arc<str>, need: u32) -> GrantRequest {
+fn grant_request(name: &Arc<str>, cost: u32) -> GrantRequest {
     GrantRequest {
         organisation: Arc::clone(name),
-        costs: vec![need],
+        costs: vec![cost],
         prefetch: 0,
     }
 }
@@ -101,7 +101,7 @@
     IpAddr::V4(Ipv4Addr::from(0x0a00_0001 + number))
 }
 
-/// A pool to which 74 instances have lent for a while.
+/// Returns a pool to which 74 instances have leased their quota shares for longer than one window.
 fn pool() -> Pool {
     let mut pool = Pool::new(Duration::from_secs(8));
     let lease = Lease {
@@ -115,7 +115,7 @@
     pool
 }
 
-/// A allocation that holds enough.
+/// Returns an allocation with enough quota for the measured request.
 fn allocation(name: &Arc<str>) -> Allocation {
     let mut allocation = Allocation::new(ip(0), Moment(0));
     allocation.acquire(name, &quota(), 1_000, NOW);
@@ -144,7 +144,7 @@
         fleet.put(Entry {
             id: id(number),
             service: Arc::from("lm"),
-            address: "127.0.0.1:80".parse().expect("an address"),
+            address: "127.0.0.1:80".parse().expect("invalid address"),
             domain: Arc::from(format!("d{}", number % 3)),
             slots: 12,
             state: State::Ready,
--- a/crates/ploverwick_bench/src/main.rs
+++ b/crates/ploverwick_bench/src/main.rs
@@ -1,7 +1,9 @@
-//! Measures relay cost, recovery and the slopes behind the capacity page.
+//! Benchmarks relay overhead, recovery after failures and the scaling of control traffic, from which
+//! the capacity page is generated.
 //!
-//! Each command prints a table and, with `--json`, one object a line. Figures depend on the
-//! machine; pages state the command that gave theirs.
+//! Each command prints text, most often a table; with `--json`, `relay`, `streams` and `recovery` print
+//! one object per line instead. Results depend on the machine; pages that quote results state the
+//! command that produced them.
 
 mod capacity;
 mod decide;
@@ -22,41 +24,43 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Measures relay cost, recovery and capacity on loopback.
+        /// Measures relay overhead, recovery and capacity on loopback.
         cmd ploverwick-bench {
-            /// Compares requests through two daemons with requests straight to the engine.
+            /// Compares requests through two daemons with requests sent directly to the engine.
             cmd relay {
-                /// Requests for each row; 4000 by default.
+                /// The number of requests per row; 4000 by default.
                 optional --requests number: usize
-                /// Print one JSON object a line.
+                /// Print one JSON object per line.
                 optional --json
             }
-            /// Compares streams through two daemons with streams straight from the engine.
+            /// Compares streams through two daemons with streams directly from the engine.
             cmd streams {
-                /// Tokens of each stream; 100 by default.
+                /// The number of tokens per stream; 100 by default.
                 optional --tokens number: usize
-                /// Print one JSON object a line.
+                /// Print one JSON object per line.
                 optional --json
             }
-            /// Measures how long tables take to be in force, and owners to be replaced.
+            /// Measures how long it takes until a new table is in force and until a failed owner is
+            /// replaced.
             cmd recovery {
-                /// How often each is measured; 20 by default.
+                /// The number of table publications per measurement; 20 by default.
                 optional --times number: usize
-                /// Print one JSON object a line.
+                /// Print one JSON object per line.
                 optional --json
             }
-            /// Measures what the gateway decides for one request: key, quota, endpoint.
+            /// Measures the gateway's decisions for one request: key lookup, quota, choice of
+            /// endpoint.
             cmd decide {
-                /// How often each is decided; 20000 by default.
+                /// The number of iterations per decision; 20000 by default.
                 optional --times number: u32
             }
-            /// Measures the slopes of the control traffic and rewrites the capacity page.
+            /// Measures how control traffic scales and updates the capacity page.
             cmd capacity {
-                /// The page whose measured part is rewritten.
+                /// The page whose generated section is replaced.
                 optional --page file: PathBuf
-                /// Where plots are written.
+                /// The directory for the plots.
                 optional --plots folder: PathBuf
-                /// Seconds for each size; 8 by default.
+                /// The duration of each measurement in seconds; 8 by default.
                 optional --seconds number: u64
             }
         }
--- a/crates/ploverwick_bench/src/plot.rs
+++ b/crates/ploverwick_bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws measured points and their fitted line.
+//! Plots measured points with their fitted line.
 
 use std::path::Path;
 
@@ -7,18 +7,19 @@
 
 use crate::fit::Line;
 
-const SIZE: (u32, u32) = (640, 400);
+const SIZE_PIXELS: (u32, u32) = (640, 400);
+/// The factor by which the axes extend beyond the largest value.
 const HEADROOM: f64 = 1.15;
 
-/// What a plot shows.
+/// The contents of a plot.
 pub(crate) struct Plot<'a> {
     /// Its title.
     pub(crate) title: &'a str,
-    /// What the horizontal axis counts.
-    pub(crate) x: &'a str,
+    /// The label of the horizontal axis.
+    pub(crate) x_label: &'a str,
     /// The measured points.
     pub(crate) points: &'a [(f64, f64)],
-    /// The line through them.
+    /// The line fitted to them.
     pub(crate) line: Line,
 }
 
@@ -31,12 +32,15 @@
 }
 
 fn draw(file: &Path, plot: &Plot<'_>) -> Result<(), Box<dyn std::error::Error>> {
-    let most = |pick: fn(&(f64, f64)) -> f64| {
-        let values = plot.points.iter().map(pick);
+    let axis_end = |coordinate: fn(&(f64, f64)) -> f64| {
+        let values = plot.points.iter().map(coordinate);
         values.fold(0.0_f64, f64::max) * HEADROOM
     };
-    let (right, top) = (most(|point| point.0), most(|point| point.1).max(1e-9));
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let (right, top) = (
+        axis_end(|point| point.0),
+        axis_end(|point| point.1).max(1e-9),
+    );
+    let area = SVGBackend::new(file, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(plot.title, ("sans-serif", 18))
@@ -44,8 +48,8 @@
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..right, 0.0..top)?;
-    chart.configure_mesh().x_desc(plot.x).draw()?;
-    let ends = [0.0, right].map(|x| (x, plot.line.at(x).clamp(0.0, top)));
+    chart.configure_mesh().x_desc(plot.x_label).draw()?;
+    let ends = [0.0, right].map(|x| (x, plot.line.value_at(x).clamp(0.0, top)));
     chart.draw_series(LineSeries::new(ends, &RED))?;
     let dots = plot
         .points
--- a/crates/ploverwick_bench/src/recovery.rs
+++ b/crates/ploverwick_bench/src/recovery.rs
@@ -1,4 +1,4 @@
-//! How long a table takes to be in force, and an owner to be replaced.
+//! The time until a new table is in force on all daemons, and until a failed owner is replaced.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -24,86 +24,97 @@
 
 const DAEMONS: usize = 7;
 const ENGINES: usize = 18;
-const ROWS: usize = 15_000;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TABLE_ROWS: usize = 15_000;
+const TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_MS: u64 = 60_000;
-const DEATHS: usize = 3;
-const LIST_LAG: Duration = Duration::from_secs(1);
+const VICTIMS: usize = 3;
+const ROSTER_LAG: Duration = Duration::from_secs(1);
 
-/// The phases from an owner's death to its successor's first request, in milliseconds.
+/// Milliseconds from the failure of an owner to each phase of its replacement, up to the first request
+/// sent by its successor.
 #[derive(Debug, Clone, Serialize)]
-struct Death {
+struct Failover {
     suspected: u64,
     gone: u64,
     claimed: u64,
     first_request: u64,
 }
 
-/// Runs the measurement and prints it.
+/// Runs all measurements and prints the results.
 pub(crate) async fn run(times: usize, json: bool) -> Result<()> {
     let mut fleet = Fleet::start(Plan {
-        daemons: DAEMONS - DEATHS,
+        daemons: DAEMONS - VICTIMS,
         engines: ENGINES,
         ..Plan::default()
     })
     .await?;
     let mut victims = Vec::new();
-    for index in 0..DEATHS {
+    for index in 0..VICTIMS {
         victims.push(Victim::start(&mut fleet, index).await?);
     }
     let mut version = publish_table(&fleet, Offset(0), &table(0)?).await?;
-    fleet.wait_ready(PATIENCE).await?;
-    let all = tables(&fleet, &mut version, times).await?;
-    show("table in force, all daemons live", &all, json);
+    fleet.wait_ready(TIMEOUT).await?;
+    let all_live = measure_publications(&fleet, &mut version, times).await?;
+    print("table in force, all daemons live", &all_live, json);
     for victim in victims {
-        let death = death(&mut fleet, victim).await?;
-        println!("{}", serde_json::to_string(&death)?);
+        let failover = measure_failover(&mut fleet, victim).await?;
+        println!("{}", serde_json::to_string(&failover)?);
     }
-    // The platform's list catches up with the deaths.
+    // Removes the failed daemons from the roster and waits until that is visible.
     fleet.list().await?;
-    tokio::time::sleep(LIST_LAG).await;
-    let fewer = tables(&fleet, &mut version, times).await?;
-    show("table in force, three daemons lost", &fewer, json);
+    tokio::time::sleep(ROSTER_LAG).await;
+    let some_lost = measure_publications(&fleet, &mut version, times).await?;
+    print("table in force, three daemons lost", &some_lost, json);
     Ok(())
 }
 
-fn show(what: &str, times: &Histogram<u64>, json: bool) {
-    let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
+fn print(label: &str, latencies: &Histogram<u64>, json: bool) {
+    let (p50, p99) = (
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
+    );
     if json {
         println!(
             "{}",
-            serde_json::json!({"what": what, "p50_ms": p50, "p99_ms": p99})
+            serde_json::json!({"what": label, "p50_ms": p50, "p99_ms": p99})
         );
     } else {
-        println!("{what}: p50 {p50} ms, p99 {p99} ms, {} times", times.len());
+        println!(
+            "{label}: p50 {p50} ms, p99 {p99} ms, {} times",
+            latencies.len()
+        );
     }
 }
 
-/// Makes a table of many rows, of which one differs by edition.
-fn table(edition: usize) -> Result<Table> {
+/// Creates a large table in which the row with the higher weight depends on the revision.
+fn table(revision: usize) -> Result<Table> {
     let mut csv = String::from("name,version,weight,priority\n*,,1,4\n");
-    for index in 0..ROWS {
-        let weight = if index == edition % ROWS { 2 } else { 1 };
+    for index in 0..TABLE_ROWS {
+        let weight = if index == revision % TABLE_ROWS { 2 } else { 1 };
         let _ = writeln!(csv, "school-{index:03},v1,{weight},5");
     }
     parse::parse(&csv).map_err(|findings| anyhow::anyhow!("{} findings", findings.len()))
 }
 
-async fn tables(fleet: &Fleet, version: &mut Offset, times: usize) -> Result<Histogram<u64>> {
+async fn measure_publications(
+    fleet: &Fleet,
+    version: &mut Offset,
+    times: usize,
+) -> Result<Histogram<u64>> {
     let reader = Reader::read(fleet.roster_address()).await?;
     let mut histogram = Histogram::<u64>::new_with_max(MAX_MS, 3)?;
-    for edition in 1..=times {
-        let table = table(edition + usize::try_from(version.0)?)?;
+    for revision in 1..=times {
+        let table = table(revision + usize::try_from(version.0)?)?;
         let started = Instant::now();
         *version = publish_table(fleet, *version, &table).await?;
-        let (there, all, _) = reader.wait_in_force(*version, PATIENCE).await;
-        anyhow::ensure!(there == all, "in force on {there} of {all}");
+        let (updated, total, _) = reader.wait_in_force(*version, TIMEOUT).await;
+        anyhow::ensure!(updated == total, "in force on {updated} of {total} daemons");
         histogram.record(u64::try_from(started.elapsed().as_millis())?.max(1))?;
     }
     Ok(histogram)
 }
 
-/// A daemon in a runtime of its own, so that it can end between two instructions.
+/// A daemon on a separate runtime, so that it can be stopped abruptly at any await point.
 struct Victim {
     name: String,
     runtime: Runtime,
@@ -124,7 +135,7 @@
             std::future::pending::<()>().await;
             drop(daemon);
         });
-        let (callers, peers, admin) = started.await.context("the victim starts")?;
+        let (callers, peers, admin) = started.await.context("start the victim")?;
         let entry = InstanceEntry {
             name: Instance::new(&name)?,
             state: State::Live,
@@ -137,14 +148,14 @@
     }
 }
 
-/// Ends a daemon without a word and follows what the others do.
-async fn death(fleet: &mut Fleet, victim: Victim) -> Result<Death> {
+/// Stops a daemon without a shutdown and follows the reactions of the others on the timeline.
+async fn measure_failover(fleet: &mut Fleet, victim: Victim) -> Result<Failover> {
     let reader = Reader::read(fleet.roster_address()).await?;
     let status = reader.status().await;
     let name = victim.name;
-    let owned = status.answers.iter().find(|status| status.instance == name);
-    let owned = owned.context("the victim answers")?;
-    let lost: Vec<String> = owned
+    let victim_status = status.answers.iter().find(|status| status.instance == name);
+    let victim_status = victim_status.context("no status of the victim")?;
+    let owned_endpoints: Vec<String> = victim_status
         .owned
         .iter()
         .filter(|endpoint| endpoint.owned)
@@ -153,54 +164,54 @@
     let started = ploverwick_timeline::clock::now_millis();
     victim.runtime.shutdown_background();
     fleet.fail(&name);
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     let client = Client::new();
     let mut number = 0;
     loop {
         anyhow::ensure!(
             Instant::now() < deadline,
-            "the successor served nothing in time"
+            "no successor sent a request in time"
         );
         number += 1;
         let work = work(&format!("{name}-{number}"), number);
         let outcome = perform(&client, &fleet.callers(), number, &work, None).await;
         anyhow::ensure!(matches!(outcome.got, Got::Whole(_)), "{:?}", outcome.got);
         let events: Vec<Event> = reader.timelines(&[]).await.answers.concat();
-        let since =
+        let millis_since_start =
             |found: Option<&Event>| found.map(|event| event.stamp.millis().saturating_sub(started));
         let after = |event: &&Event| event.stamp.millis() >= started;
-        let member = |state: &str| {
+        let first_report = |state: &str| {
             let text = format!("is {state}");
-            let said = events.iter().filter(after).filter(|event| {
+            let reports = events.iter().filter(after).filter(|event| {
                 event.kind == Kind::Member
                     && event.what.starts_with(&name)
                     && event.what.ends_with(&text)
             });
-            said.min_by_key(|event| event.stamp)
+            reports.min_by_key(|event| event.stamp)
         };
-        let at_lost = |event: &&Event| {
+        let at_owned_endpoint = |event: &&Event| {
             let endpoint = event.endpoint.as_ref().map(ToString::to_string);
-            endpoint.is_some_and(|endpoint| lost.contains(&endpoint))
+            endpoint.is_some_and(|endpoint| owned_endpoints.contains(&endpoint))
         };
-        let first = |kind: Kind, text: &str| {
-            let found = events.iter().filter(after).filter(at_lost);
+        let first_event = |kind: Kind, text: &str| {
+            let found = events.iter().filter(after).filter(at_owned_endpoint);
             let found = found.filter(|event| event.kind == kind && event.what.starts_with(text));
             found.min_by_key(|event| event.stamp)
         };
-        let claimed = first(Kind::Ownership, "owned here");
+        let claimed = first_event(Kind::Ownership, "owned here");
         let served = claimed.and_then(|claimed| {
-            let sent = events.iter().filter(at_lost).filter(|event| {
+            let sent = events.iter().filter(at_owned_endpoint).filter(|event| {
                 event.stamp > claimed.stamp && event.what.starts_with("attempt sent")
             });
             sent.min_by_key(|event| event.stamp)
         });
         if let (Some(suspected), Some(gone), Some(claimed), Some(served)) = (
-            since(member("suspect")),
-            since(member("gone")),
-            since(claimed),
-            since(served),
+            millis_since_start(first_report("suspect")),
+            millis_since_start(first_report("gone")),
+            millis_since_start(claimed),
+            millis_since_start(served),
         ) {
-            return Ok(Death {
+            return Ok(Failover {
                 suspected,
                 gone,
                 claimed,
--- a/crates/ploverwick_bench/src/relay.rs
+++ b/crates/ploverwick_bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! The cost of the way through two daemons, against the way straight to the engine.
+//! The overhead of requests through two daemons compared with requests sent directly to the engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,13 +21,13 @@
 
 use crate::system;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const CALLERS: [usize; 3] = [1, 16, 64];
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const CALLER_COUNTS: [usize; 3] = [1, 16, 64];
 const ROUNDS: usize = 3;
 const MODEL: &str = "base:school-000@v1";
 const MAX_MICROS: u64 = 60_000_000;
 
-/// A row of the measurement.
+/// The results of one measurement.
 #[derive(Debug, Clone, Serialize)]
 struct Row {
     callers: usize,
@@ -38,7 +38,8 @@
     requests_per_core_s: f64,
 }
 
-/// Starts two daemons and one engine, and finds the entry that does not own it.
+/// Starts two daemons and one engine. Returns the fleet, the address for callers of the daemon that
+/// does not own the engine, and the address of the engine.
 pub(crate) async fn fleet(engine: engine::Config) -> Result<(Fleet, SocketAddr, SocketAddr)> {
     let fleet = Fleet::start(Plan {
         daemons: 2,
@@ -49,7 +50,7 @@
     })
     .await?;
     publish_table(&fleet, Offset(0), &table(1)?).await?;
-    fleet.wait_ready(PATIENCE).await?;
+    fleet.wait_ready(READY_TIMEOUT).await?;
     let reader = ploverwick_operator::Fleet::read(fleet.roster_address()).await?;
     let status = reader.status().await;
     let owners = status
@@ -62,7 +63,7 @@
     Ok((fleet, entry, engine))
 }
 
-/// Runs the measurement and prints it.
+/// Runs all measurements and prints the results.
 pub(crate) async fn run(requests: usize, json: bool) -> Result<()> {
     let (_fleet, entry, engine) = fleet(engine::Config {
         step: Duration::ZERO,
@@ -70,24 +71,24 @@
         ..Plan::default().engine
     })
     .await?;
-    // The first request loads the adapter, for the direct way too.
-    load(entry, requests.min(200), 4).await?;
+    // Loads the adapter; the engine has to hold it for direct requests too.
+    send_requests(entry, requests.min(200), 4).await?;
     let mut rows = Vec::new();
-    for callers in CALLERS {
+    for callers in CALLER_COUNTS {
         let mut direct = Vec::new();
         let mut relayed = Vec::new();
         for _ in 0..ROUNDS {
             direct.push(measure("direct", engine, requests, callers).await?);
             relayed.push(measure("two daemons", entry, requests, callers).await?);
         }
-        rows.push(middle(direct));
-        rows.push(middle(relayed));
+        rows.push(median_round(direct));
+        rows.push(median_round(relayed));
     }
     print(&rows, json)
 }
 
-/// Takes the round with the median p50.
-fn middle(mut rounds: Vec<Row>) -> Row {
+/// Returns the round with the median p50.
+fn median_round(mut rounds: Vec<Row>) -> Row {
     rounds.sort_by_key(|row| row.p50_us);
     rounds.swap_remove(rounds.len() / 2)
 }
@@ -98,53 +99,57 @@
     requests: usize,
     callers: usize,
 ) -> Result<Row> {
-    let before = system::threads_time("bench")?;
+    let cpu_time_before = system::thread_cpu_time("bench")?;
     let started = Instant::now();
-    let histogram = load(address, requests, callers).await?;
-    let took = started.elapsed().as_secs_f64();
-    let busy = system::threads_time("bench")?
-        .saturating_sub(before)
+    let histogram = send_requests(address, requests, callers).await?;
+    let elapsed = started.elapsed().as_secs_f64();
+    let cpu_time = system::thread_cpu_time("bench")?
+        .saturating_sub(cpu_time_before)
         .as_secs_f64();
     Ok(Row {
         callers,
         way,
         p50_us: histogram.value_at_quantile(0.5),
         p99_us: histogram.value_at_quantile(0.99),
-        requests_per_s: requests as f64 / took,
-        requests_per_core_s: requests as f64 / busy.max(1e-9),
+        requests_per_s: requests as f64 / elapsed,
+        requests_per_core_s: requests as f64 / cpu_time.max(1e-9),
     })
 }
 
-async fn load(address: SocketAddr, requests: usize, callers: usize) -> Result<Histogram<u64>> {
-    let left = Arc::new(AtomicUsize::new(requests));
+async fn send_requests(
+    address: SocketAddr,
+    requests: usize,
+    callers: usize,
+) -> Result<Histogram<u64>> {
+    let remaining = Arc::new(AtomicUsize::new(requests));
     let mut tasks = JoinSet::new();
     for _ in 0..callers {
-        let left = Arc::clone(&left);
+        let remaining = Arc::clone(&remaining);
         tasks.spawn(async move {
             let client = Client::new();
-            let mut times = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
-            while left
-                .fetch_update(Ordering::AcqRel, Ordering::Acquire, |left| {
-                    left.checked_sub(1)
+            let mut latencies = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
+            while remaining
+                .fetch_update(Ordering::AcqRel, Ordering::Acquire, |remaining| {
+                    remaining.checked_sub(1)
                 })
                 .is_ok()
             {
                 let started = Instant::now();
-                call(&client, address).await?;
+                send_request(&client, address).await?;
                 let micros = u64::try_from(started.elapsed().as_micros())?;
-                times.record(micros.clamp(1, MAX_MICROS))?;
+                latencies.record(micros.clamp(1, MAX_MICROS))?;
             }
-            anyhow::Ok(times)
+            anyhow::Ok(latencies)
         });
     }
-    let mut all = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
-    while let Some(times) = tasks.join_next().await {
-        all.add(times??)?;
+    let mut merged = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
+    while let Some(latencies) = tasks.join_next().await {
+        merged.add(latencies??)?;
     }
-    Ok(all)
+    Ok(merged)
 }
 
-async fn call(client: &Client, address: SocketAddr) -> Result<()> {
+async fn send_request(client: &Client, address: SocketAddr) -> Result<()> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let body = serde_json::json!({
@@ -156,7 +161,7 @@
     let response = client.send(address, request).await?;
     let status = response.status();
     response.into_body().collect().await?;
-    ensure!(status.is_success(), "the answer was {status}");
+    ensure!(status.is_success(), "the response status was {status}");
     Ok(())
 }
 
--- a/crates/ploverwick_bench/src/streams.rs
+++ b/crates/ploverwick_bench/src/streams.rs
@@ -1,4 +1,4 @@
-//! Streams through two daemons, against streams straight from the engine.
+//! The overhead of streams through two daemons compared with streams directly from the engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,16 +19,17 @@
 
 use crate::{relay, system};
 
-const STREAMS: [usize; 3] = [1, 100, 2000];
-/// The time between two tokens at the engine: what the users allow at the most.
-const STEP: Duration = Duration::from_millis(50);
+const STREAM_COUNTS: [usize; 3] = [1, 100, 2000];
+/// The time between two tokens at the engine: the maximum gap that the users accept.
+const TOKEN_INTERVAL: Duration = Duration::from_millis(50);
 const MODEL: &str = "base:school-000@v1";
-/// The time between the starts of two streams.
-const STAGGER: Duration = Duration::from_millis(1);
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time between the starts of two streams. Starting all streams at once would overflow the
+/// listener's backlog.
+const START_INTERVAL: Duration = Duration::from_millis(1);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 const MAX_MICROS: u64 = 60_000_000;
 
-/// A row of the measurement.
+/// The results of one measurement.
 #[derive(Debug, Clone, Serialize)]
 struct Row {
     streams: usize,
@@ -40,17 +41,17 @@
     memory_per_stream: i64,
 }
 
-/// Runs the measurement and prints it.
+/// Runs all measurements and prints the results.
 pub(crate) async fn run(tokens: usize, json: bool) -> Result<()> {
     let (_fleet, entry, engine) = relay::fleet(engine::Config {
-        step: STEP,
+        step: TOKEN_INTERVAL,
         batch: 4096,
         ..Plan::default().engine
     })
     .await?;
-    stream_all(entry, 4, 2).await?;
+    run_streams(entry, 4, 2).await?;
     let mut rows = Vec::new();
-    for streams in STREAMS {
+    for streams in STREAM_COUNTS {
         rows.push(measure("direct", engine, streams, tokens).await?);
         rows.push(measure("two daemons", entry, streams, tokens).await?);
     }
@@ -63,56 +64,56 @@
     streams: usize,
     tokens: usize,
 ) -> Result<Row> {
-    let memory = system::resident()?;
-    let before = system::threads_time("bench")?;
-    let (gaps, peak) = stream_all(address, streams, tokens).await?;
-    let busy = system::threads_time("bench")?
-        .saturating_sub(before)
+    let memory_before = system::resident_bytes()?;
+    let cpu_time_before = system::thread_cpu_time("bench")?;
+    let (gaps, memory) = run_streams(address, streams, tokens).await?;
+    let cpu_time = system::thread_cpu_time("bench")?
+        .saturating_sub(cpu_time_before)
         .as_secs_f64();
-    let grown = i64::try_from(peak)? - i64::try_from(memory)?;
+    let memory_growth = i64::try_from(memory)? - i64::try_from(memory_before)?;
     Ok(Row {
         streams,
         way,
         gap_p50_us: gaps.value_at_quantile(0.5),
         gap_p95_us: gaps.value_at_quantile(0.95),
         gap_p99_us: gaps.value_at_quantile(0.99),
-        tokens_per_core_s: (streams * tokens) as f64 / busy.max(1e-9),
-        memory_per_stream: grown / i64::try_from(streams)?,
+        tokens_per_core_s: (streams * tokens) as f64 / cpu_time.max(1e-9),
+        memory_per_stream: memory_growth / i64::try_from(streams)?,
     })
 }
 
-/// Runs streams side by side; returns the gaps between their events and the memory in their midst.
-async fn stream_all(
+/// Runs concurrent streams. Returns the gaps between their events, and the resident memory while all
+/// of them are running.
+async fn run_streams(
     address: SocketAddr,
     streams: usize,
     tokens: usize,
 ) -> Result<(Histogram<u64>, u64)> {
-    let begun = Arc::new(Semaphore::new(0));
+    let started = Arc::new(Semaphore::new(0));
     let mut tasks = JoinSet::new();
     let client = Client::new();
     for _ in 0..streams {
         let client = client.clone();
-        let begun = Arc::clone(&begun);
-        // All at once would overflow the listener's backlog.
-        tokio::time::sleep(STAGGER).await;
-        tasks.spawn(async move { stream(&client, address, tokens, &begun).await });
+        let started = Arc::clone(&started);
+        tokio::time::sleep(START_INTERVAL).await;
+        tasks.spawn(async move { run_stream(&client, address, tokens, &started).await });
     }
-    // If a stream fails before it begins, its error shows below.
-    let all_begun = begun.acquire_many(u32::try_from(streams)?);
-    let _ = tokio::time::timeout(PATIENCE, all_begun).await;
-    let peak = system::resident()?;
-    let mut all = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
+    // A stream that fails before its first event makes this time out; its error is returned below.
+    let all_started = started.acquire_many(u32::try_from(streams)?);
+    let _ = tokio::time::timeout(START_TIMEOUT, all_started).await;
+    let memory = system::resident_bytes()?;
+    let mut merged = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
     while let Some(gaps) = tasks.join_next().await {
-        all.add(gaps??)?;
+        merged.add(gaps??)?;
     }
-    Ok((all, peak))
+    Ok((merged, memory))
 }
 
-async fn stream(
+async fn run_stream(
     client: &Client,
     address: SocketAddr,
     tokens: usize,
-    begun: &Semaphore,
+    started: &Semaphore,
 ) -> Result<Histogram<u64>> {
     static NUMBER: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -123,25 +124,25 @@
     let response = client.send(address, request).await?;
     ensure!(
         response.status().is_success(),
-        "the answer was {}",
+        "the response status was {}",
         response.status()
     );
     let mut gaps = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
     let mut body = response.into_body();
     let mut last: Option<Instant> = None;
-    let mut whole = false;
+    let mut complete = false;
     while let Some(frame) = body.frame().await {
         let now = Instant::now();
         match last.replace(now) {
             Some(last) => {
                 gaps.record(u64::try_from((now - last).as_micros())?.clamp(1, MAX_MICROS))?;
             }
-            None => begun.add_permits(1),
+            None => started.add_permits(1),
         }
         let data = frame?.into_data().unwrap_or_default();
-        whole |= data.ends_with(b"[DONE]\n\n");
+        complete |= data.ends_with(b"[DONE]\n\n");
     }
-    ensure!(whole, "a stream broke off");
+    ensure!(complete, "a stream ended early");
     Ok(gaps)
 }
 
