--- a/crates/ploverwick/src/commands/show.rs
+++ b/crates/ploverwick/src/commands/show.rs
@@ -56,8 +56,8 @@
             rows.push(row(adapter, &policy));
         }
     }
-    // The last row is for all adapters that the table does not list. It exists only if the table has
-    // a `*` row; any unlisted name resolves to it.
+    // The last row is for adapters that the table does not list. It exists only if the table has a
+    // `*` row, to which any unlisted name resolves.
     let unlisted = Adapter::new("other").context("invalid placeholder name")?;
     let covers_all = table.row(&Subject::All).is_some();
     if covers_all && let Some(policy) = resolve(table, &unlisted, hall, at) {
--- a/crates/ploverwick/src/flags/table.rs
+++ b/crates/ploverwick/src/flags/table.rs
@@ -18,7 +18,8 @@
             /// The new table, as CSV.
             required after: PathBuf
         }
-        /// Publishes a table, waits for the verdict and then until all daemons have the table in force.
+        /// Publishes a table, waits for the verdict and then until the table is in force on all
+        /// daemons.
         cmd publish {
             /// The table, as CSV.
             required file: PathBuf
--- a/crates/ploverwick/src/main.rs
+++ b/crates/ploverwick/src/main.rs
@@ -1,7 +1,7 @@
 //! The command-line interface.
 //!
-//! Exit status: 0 on success, 1 if the result is negative (for example findings in a file, a rejected
-//! publication or a daemon that does not respond), 2 if the command could not run.
+//! Exit status: 0 on success, 1 if the result is negative (for example findings in a file, a
+//! rejected publication or a daemon that does not respond), 2 if the command could not run.
 
 mod commands;
 mod flags;
--- a/crates/ploverwick/tests/daemon_crashes.rs
+++ b/crates/ploverwick/tests/daemon_crashes.rs
@@ -1,5 +1,5 @@
-//! Daemons in separate processes are killed and restarted, or suspended and resumed, under load. The
-//! engines' own records must then show that no delivery guarantee was violated.
+//! Daemons in separate processes are killed and restarted, or suspended and resumed, under load.
+//! The engines' own records must then show that no delivery guarantee was violated.
 
 mod common;
 
--- a/crates/ploverwick_bench/src/capacity.rs
+++ b/crates/ploverwick_bench/src/capacity.rs
@@ -1,5 +1,5 @@
-//! Measures how the cost of control traffic and of single decisions scales, and updates the capacity
-//! page.
+//! Measures how the cost of control traffic and of single decisions scales, and updates the
+//! capacity page.
 
 mod claims;
 mod decisions;
--- a/crates/ploverwick_bench/src/main.rs
+++ b/crates/ploverwick_bench/src/main.rs
@@ -1,7 +1,7 @@
-//! Benchmarks relay overhead, recovery after failures and the scaling of control traffic, from which
-//! the capacity page is generated.
+//! Benchmarks of relay overhead, recovery after failures and the scaling of control traffic, from
+//! which the capacity page is generated.
 //!
-//! Each command prints text, most often a table; with `--json`, `relay`, `streams` and `recovery` print
+//! Each command prints its results as text; with `--json`, `relay`, `streams` and `recovery` print
 //! one object per line instead. Results depend on the machine; pages that quote results state the
 //! command that produced them.
 
--- a/crates/ploverwick_bench/src/recovery.rs
+++ b/crates/ploverwick_bench/src/recovery.rs
@@ -30,8 +30,8 @@
 const VICTIMS: usize = 3;
 const ROSTER_LAG: Duration = Duration::from_secs(1);
 
-/// Milliseconds from the failure of an owner to each phase of its replacement, up to the first request
-/// sent by its successor.
+/// Milliseconds from the failure of an owner to each phase of its replacement, up to the first
+/// request sent by its successor.
 #[derive(Debug, Clone, Serialize)]
 struct Failover {
     suspected: u64,
--- a/crates/ploverwick_bench/src/streams.rs
+++ b/crates/ploverwick_bench/src/streams.rs
@@ -82,8 +82,8 @@
     })
 }
 
-/// Runs concurrent streams. Returns the gaps between their events, and the resident memory while all
-/// of them are running.
+/// Runs concurrent streams. Returns the gaps between their events, and the resident memory while
+/// all of them are running.
 async fn run_streams(
     address: SocketAddr,
     streams: usize,
--- a/crates/ploverwick_bench/src/system.rs
+++ b/crates/ploverwick_bench/src/system.rs
@@ -6,11 +6,12 @@
 use anyhow::{Context, Result};
 use tokio::runtime::{Builder, Runtime};
 
-/// The index of the user-mode ticks among the fields of `/proc/.../stat` that follow the thread's name.
-/// The system-mode ticks come next.
+/// The index of the user-mode ticks among the fields of `/proc/.../stat` after the thread's name.
+/// The system-mode ticks follow.
 const USER_TICKS_INDEX: usize = 11;
 
-/// Starts a runtime with named threads, so that the CPU time of each runtime can be read separately.
+/// Starts a runtime with named threads, so that the CPU time of each runtime can be read
+/// separately.
 ///
 /// # Errors
 /// Fails if threads cannot be started.
--- a/crates/ploverwick_daemon/src/controllers/members.rs
+++ b/crates/ploverwick_daemon/src/controllers/members.rs
@@ -8,7 +8,7 @@
 use ploverwick_ports::roster::Listing;
 use ploverwick_timeline::clock::Stamp;
 use ploverwick_timeline::{Event, Kind};
-use ploverwick_wire::{Ack, News as WireNews, PROTOCOL, Probe, understands};
+use ploverwick_wire::{Ack, News as WireNews, PROTOCOL, Probe, supports_protocol};
 use tokio::time::MissedTickBehavior;
 
 use crate::controllers::table;
@@ -197,7 +197,7 @@
 
 /// Answers a peer's probe.
 pub(crate) async fn answer(node: &Arc<Node>, probe: Probe) -> Option<Ack> {
-    if !understands(probe.protocol) {
+    if !supports_protocol(probe.protocol) {
         return None;
     }
     node.recorder.clock().observe(Stamp(probe.stamp));
--- a/crates/ploverwick_daemon/src/owner/task.rs
+++ b/crates/ploverwick_daemon/src/owner/task.rs
@@ -14,7 +14,7 @@
 use ploverwick_ports::roster::{EndpointEntry, Fencing, State};
 use ploverwick_table::policy::DEFAULT_WEIGHT;
 use ploverwick_timeline::{Event, Kind};
-use ploverwick_wire::{Frame, Order, understands};
+use ploverwick_wire::{Frame, Order, supports_protocol};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::MissedTickBehavior;
 
@@ -190,7 +190,7 @@
             // The channel is new and has room.
             let _ = frames.try_send(ending(code, message, Some(RETRY_AFTER)));
         };
-        if !understands(order.protocol) {
+        if !supports_protocol(order.protocol) {
             let message = format!("protocol {} is not understood", order.protocol);
             return refuse(Code::NotOwner, &message);
         }
--- a/crates/ploverwick_wire/src/lib.rs
+++ b/crates/ploverwick_wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! Messages between daemons.
+//! The gRPC protocol between daemons.
 //!
-//! The code in [`generated`] comes from `proto/peer.proto` and is committed; see
+//! The code in [`generated`] is generated from `proto/peer.proto` and committed; see
 //! `CONTRIBUTING.md` for how to change it.
 
-/// The version of the protocol that this build speaks.
+/// The protocol version that this build sends.
 pub const PROTOCOL: u32 = 1;
 
-/// The oldest version of the protocol that this build still accepts.
-pub const OLDEST_PROTOCOL: u32 = 1;
+/// The oldest protocol version that this build accepts.
+pub const MIN_PROTOCOL: u32 = 1;
 
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
@@ -20,7 +20,7 @@
     TableCopy, claim_answer, frame,
 };
 
-/// Says whether a peer that speaks `version` is understood.
-pub fn understands(version: u32) -> bool {
-    (OLDEST_PROTOCOL..=PROTOCOL).contains(&version)
+/// Returns whether this build accepts messages of the protocol version `version`.
+pub fn supports_protocol(version: u32) -> bool {
+    (MIN_PROTOCOL..=PROTOCOL).contains(&version)
 }
