--- a/crates/ploverwick_daemon/src/controllers/members.rs
+++ b/crates/ploverwick_daemon/src/controllers/members.rs
@@ -8,7 +8,7 @@
 use ploverwick_ports::roster::Listing;
 use ploverwick_timeline::clock::Stamp;
 use ploverwick_timeline::{Event, Kind};
-use ploverwick_wire::{Ack, News as WireUpdate, PROTOCOL, Probe, understands};
+use ploverwick_wire::{Ack, News as WireUpdate, PROTOCOL, Probe, supports_protocol};
 use tokio::time::MissedTickBehavior;
 
 use crate::controllers::table;
@@ -199,7 +199,7 @@
 
 /// Handles a probe from a peer. Returns `None` if the peer's protocol version is not supported.
 pub(crate) async fn answer_probe(node: &Arc<Node>, probe: Probe) -> Option<Ack> {
-    if !understands(probe.protocol) {
+    if !supports_protocol(probe.protocol) {
         return None;
     }
     node.recorder.clock().observe(Stamp(probe.stamp));
