--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -29,7 +29,7 @@
             request.service
         );
     }
-    let detail = format!("The request's fingerprint is {fingerprint}.");
+    let detail = format!("Its fingerprint is {fingerprint}.");
     Some(Reply::new(Code::CrashesEndpoints, detail))
 }
 
--- a/crates/ploverwick_gateway/src/filters/quota.rs
+++ b/crates/ploverwick_gateway/src/filters/quota.rs
@@ -201,6 +201,6 @@
             code
         );
     }
-    let detail = format!("The request costs {cost} quota units.");
+    let detail = format!("The request counts as {cost}.");
     Reply::new(code, detail).retry_after(retry_after.unwrap_or(UNKNOWN_RETRY_AFTER))
 }
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/relay.rs
@@ -57,7 +57,7 @@
         }
         Err(_) => {
             in_flight.set_outcome(Outcome::Broken);
-            return Err("the answer was not complete before the deadline".to_owned());
+            return Err("the answer was not complete in time".to_owned());
         }
     };
     in_flight.set_outcome(if parts.status.is_server_error() {
--- a/crates/ploverwick_gateway/src/filters/retry.rs
+++ b/crates/ploverwick_gateway/src/filters/retry.rs
@@ -91,10 +91,7 @@
     let mut history = History::default();
     loop {
         if history.runs > 0 && !quarantine::may_repeat(shared, &request) {
-            let reply = Reply::new(
-                Code::Interrupted,
-                "Endpoints crashed while running the request.",
-            );
+            let reply = Reply::new(Code::Interrupted, "Endpoints crashed under the request.");
             return give_up(shared, &request, history, reply);
         }
         let begun = Instant::now();
@@ -105,7 +102,7 @@
             Err(reply) => return give_up(shared, &request, history, reply),
         };
         if history.sent > 0 && !shared.may_retry(&request.info.id, &request.service) {
-            let reply = Reply::new(Code::EndpointRefused, "The retry budget is exhausted.");
+            let reply = Reply::new(Code::EndpointRefused, "No repeat is left in the budget.");
             return give_up(
                 shared,
                 &request,
@@ -170,18 +167,14 @@
                 return NextStep::Retry(Duration::ZERO);
             }
             history.refusals += 1;
-            retry_refused(
-                history,
-                "the endpoint has no capacity",
-                REFUSAL_BACKOFF * history.refusals,
-            )
+            retry_refused(history, "no room", REFUSAL_BACKOFF * history.refusals)
         }
         SendOutcome::Lost(cause) => retry_lost(request, target, history, &cause),
         SendOutcome::TimedOut => {
             if request.remaining().is_zero() {
                 return NextStep::GiveUp(Reply::new(Code::DeadlineWhileRunning, ""));
             }
-            retry_lost(request, target, history, "the answer did not start in time")
+            retry_lost(request, target, history, "no answer in time")
         }
         SendOutcome::Answered(answered) => {
             handle_answer(shared, request, target, history, *answered).await
@@ -200,7 +193,7 @@
     let state = answered.head.state;
     if status.is_success() && !answered.head.is_signed {
         answered.in_flight.set_outcome(Outcome::Broken);
-        return retry_lost(request, target, history, "the answer has no signature");
+        return retry_lost(request, target, history, "an answer without a signature");
     }
     if status.is_success() && request.route.kind.is_stream() {
         log_answered(shared, request, target, history, status, state);
--- a/crates/ploverwick_gateway/src/filters/select.rs
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -89,7 +89,7 @@
         }
         let now = Instant::now();
         if now >= deadline {
-            let detail = format!("adapter {key}, load requested {load_requests} times");
+            let detail = format!("adapter {key}, asked {load_requests} times");
             return Err(Reply::new(Code::LoadFailed, detail).retry_after(NOT_LOADED_RETRY_AFTER));
         }
         // Every load of any adapter wakes this task, so load requests are paced separately.
@@ -114,7 +114,7 @@
 }
 
 fn limited_reply(wait: Duration) -> Reply {
-    let detail = "No endpoint currently accepts requests from this instance.";
+    let detail = "No endpoint takes a request from this instance now.";
     Reply::new(Code::Overloaded, detail).retry_after(wait.min(MAX_LIMITED_RETRY_AFTER))
 }
 
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -82,7 +82,7 @@
     after_event: Option<u64>,
 ) -> SendOutcome {
     if request.remaining() < MIN_REMAINING {
-        return SendOutcome::Unsent("the deadline is too close".to_owned());
+        return SendOutcome::Unsent("no time is left".to_owned());
     }
     let caller = match authenticate::revalidate(shared, request) {
         Ok(caller) => caller,
@@ -91,9 +91,7 @@
     let endpoint = &target.entry.id;
     let sent = shared.now();
     if shared.state().send_wait(endpoint, sent).is_some() {
-        return SendOutcome::Unsent(
-            "the endpoint currently accepts no requests from this instance".to_owned(),
-        );
+        return SendOutcome::Unsent("it takes no request from here now".to_owned());
     }
     let prompt = request.info.prompt_tokens;
     if let Some(charge) = &request.charge {
@@ -134,7 +132,7 @@
     if head.is_for_other_attempt {
         // This answers an earlier request on the connection, so the start of this one's answer is unknown.
         in_flight.set_outcome(Outcome::Error);
-        return SendOutcome::Lost("the answer belongs to another request".to_owned());
+        return SendOutcome::Lost("the answer is another request's".to_owned());
     }
     limits::handle_answer(shared, endpoint, &request.info.id, &head, sent);
     let source = format_args!("answer id={}", request.info.id);
--- a/crates/ploverwick_gateway/src/filters/terms.rs
+++ b/crates/ploverwick_gateway/src/filters/terms.rs
@@ -30,7 +30,7 @@
     // An unread table may contain a limit. Only after the topic has been read does a missing table mean that
     // there are no limits.
     if !state.has_table {
-        let detail = "The operators' table has not been read yet.";
+        let detail = "The operators' table was not read yet.";
         return Err(Reply::new(Code::NoConfiguration, detail).retry_after(NO_TABLE_RETRY_AFTER));
     }
     let Some(table) = state.table.clone() else {
@@ -51,7 +51,7 @@
             .rate_limiter
             .take_shared(subject, column, limit.rate, sharers, now);
         if let Err(wait) = result {
-            let detail = format!("adapter {key}, limit {} requests per second", limit.rate);
+            let detail = format!("adapter {key}, limit {} a second", limit.rate);
             return Err(Reply::new(Code::LimitReached, detail).retry_after(wait));
         }
     }
--- a/crates/ploverwick_ports/src/client.rs
+++ b/crates/ploverwick_ports/src/client.rs
@@ -30,7 +30,7 @@
         cause: String,
     },
     /// The call was sent but no complete response arrived, so whether it took effect is unknown.
-    #[error("no complete response from {address}: {cause}")]
+    #[error("no whole answer from {address}: {cause}")]
     ResponseLost {
         /// The address of the service.
         address: SocketAddr,
