--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -81,7 +81,7 @@
         }
         Message::EndpointDigests(digests) => handle_digests(shared, &digests, from),
         Message::EndpointReportRequest(endpoints) => {
-            broadcast::send_holdings(shared, from, &endpoints)
+            broadcast::send_holdings(shared, from, &endpoints);
         }
         Message::Changes(changes) => handle_changes(shared, changes),
         Message::RosterUpdate {
--- a/crates/ploverwick_scenario/src/claims.rs
+++ b/crates/ploverwick_scenario/src/claims.rs
@@ -42,7 +42,6 @@
 }
 
 /// A scribe and its read position in the stream.
-
 #[derive(Debug)]
 struct ScribeState {
     scribe: Scribe,
