--- a/crates/ploverwick_standin/src/engine/http.rs
+++ b/crates/ploverwick_standin/src/engine/http.rs
@@ -119,12 +119,12 @@
         }
         self.record_event(
             Kind::Load,
-            &format!("load started, token {}", order.token),
+            &format!("load begins, token {}", order.token),
             &variant,
         );
         let ok = !lock(&self.faults).fail_loads && self.fetch(&variant).await;
         lock(&self.core).end_load(&variant, started_in, ok);
-        self.record_event(Kind::Load, &format!("load finished, ok={ok}"), &variant);
+        self.record_event(Kind::Load, &format!("load ends, ok={ok}"), &variant);
         if ok {
             return self.acknowledge();
         }
@@ -247,7 +247,7 @@
         if lock(&self.faults).refuse_runs || model.base.as_str() != self.config.base {
             return Err(Refusal::NotLoaded);
         }
-        let event = Event::new(Kind::Attempt, format!("run requested, token {token}"));
+        let event = Event::new(Kind::Attempt, format!("run asked, token {token}"));
         let event = match run_request.request.clone().try_into() {
             Ok(request) => event.request(&request),
             Err(_) => event,
--- a/crates/ploverwick_standin/src/roster.rs
+++ b/crates/ploverwick_standin/src/roster.rs
@@ -122,7 +122,7 @@
 
     fn replace(&self, listing: Listing) -> Reply {
         let detail = format!(
-            "roster changes to {} instances and {} endpoints",
+            "list changes to {} instances and {} endpoints",
             listing.instances.len(),
             listing.endpoints.len()
         );
--- a/crates/ploverwick_timeline/src/page.rs
+++ b/crates/ploverwick_timeline/src/page.rs
@@ -16,11 +16,11 @@
 pub fn page(events: &[Event]) -> String {
     let mut out = String::from(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">\
-         <title>ploverwick timeline</title><style>\
+         <title>ploverwick time line</title><style>\
          body{font:14px sans-serif;margin:1.5em;color:#222}\
          pre{font-size:12px;line-height:1.35}svg text{font-size:11px}\
          .key{display:inline-block;width:.8em;height:.8em;border-radius:50%;margin:0 .3em 0 1em}\
-         </style></head><body><h1>Timeline</h1>",
+         </style></head><body><h1>Time line</h1>",
     );
     write_legend(&mut out);
     write_lanes(&mut out, events);
