--- a/crates/ploverwick_claims/src/scribe.rs
+++ b/crates/ploverwick_claims/src/scribe.rs
@@ -58,7 +58,8 @@
     submitted_at: Moment,
 }
 
-/// Appends and answers the claims of one partition.
+/// Batches and answers the claims of one partition. It does no I/O itself: the caller appends its
+/// batches and passes it the records of the stream.
 #[derive(Debug)]
 pub struct Scribe {
     config: Config,
@@ -94,7 +95,8 @@
         self.pending.len()
     }
 
-    /// Accepts a claim or a forfeit. Returns the answer at once if it needs no append.
+    /// Accepts a claim or a forfeit. A forfeit is queued and answered with [`Outcome::Won`]. A
+    /// claim is answered if its outcome is already known, and queued otherwise.
     pub fn submit(&mut self, claim: ClaimRequest, now_ms: u64, now: Moment) -> Option<Answer> {
         let request = claim.record.request.clone();
         let answer = |outcome| {
@@ -116,8 +118,8 @@
         if let Some(holder) = self.partition.holder(&claim.record.key) {
             // The partition's state may lag behind the log, but a held key can only have been
             // forfeited since, so it is safe to report the claim as lost.
-            let mine = holder.request == claim.record.request;
-            let outcome = if mine {
+            let is_holder = holder.request == claim.record.request;
+            let outcome = if is_holder {
                 Outcome::Won
             } else {
                 Outcome::Lost(holder.clone())
@@ -147,12 +149,14 @@
         Some(self.unsent.drain(..count).collect())
     }
 
-    /// Records the end of an append. Its effect is only learned from the stream.
+    /// Records the end of an append that may have taken effect. Only the stream shows whether it
+    /// has.
     pub fn appended(&mut self) {
         self.appending = false;
     }
 
-    /// Queues the records of an append again that certainly had no effect.
+    /// Requeues the records of an append that certainly had no effect, except claims that are no
+    /// longer pending.
     pub fn not_appended(&mut self, records: Vec<Record>) {
         self.appending = false;
         let still_needed = records
@@ -162,7 +166,8 @@
         self.unsent.splice(0..0, retried);
     }
 
-    /// Applies the next record of the stream and returns the answer that it decides.
+    /// Applies the next record of the stream. Returns the answer to the pending claim that the
+    /// record decides, if any.
     pub fn apply(&mut self, offset: Offset, at_ms: u64, record: &Record) -> Option<Answer> {
         self.partition.apply(offset, at_ms, record);
         if record.forfeit {
--- a/crates/ploverwick_daemon/src/controllers/claims.rs
+++ b/crates/ploverwick_daemon/src/controllers/claims.rs
@@ -23,16 +23,16 @@
 use crate::node::Node;
 use crate::scribes::PendingClaim;
 
-/// The delay after a failed read.
+/// The delay before a failed read of a stream is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often a scribe checks its batch and its pending claims.
+/// How often a scribe checks whether a batch is due and whether pending claims have timed out.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// The maximum number of attempts to forfeit a claim.
 const FORFEIT_ATTEMPTS: u32 = 6;
 /// The delay after the first failed attempt to forfeit a claim. It doubles with each attempt.
 const FORFEIT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-fn stream(partition: u32) -> String {
+fn stream_name(partition: u32) -> String {
     format!("claims-{partition}")
 }
 
@@ -62,8 +62,8 @@
     }
 }
 
-/// Returns whether a request of this process has abandoned its claim. Such a request has not run and
-/// never will.
+/// Returns whether a request of this process has abandoned its claim. Such a request has not run
+/// and never will.
 pub(crate) fn was_abandoned(node: &Node, request: &Request) -> bool {
     node.scribes.is_abandoned(request)
 }
@@ -73,7 +73,7 @@
     node.scribes.abandon(request);
     let node = Arc::clone(node);
     let request = request.clone();
-    // The caller does not wait for this, which may take as long as an outage of the log.
+    // Runs in the background, because retries during an outage of the log would delay the caller.
     tokio::spawn(async move {
         let mut delay = FORFEIT_RETRY_DELAY;
         for _ in 0..FORFEIT_ATTEMPTS {
@@ -132,15 +132,15 @@
 /// avoids redundant appends.
 fn scribe_of(node: &Node, partition: u32) -> Option<Instance> {
     let eligible = lock(&node.members).eligible();
-    listing::choose_instance(&stream(partition), &eligible)
+    listing::choose_instance(&stream_name(partition), &eligible)
 }
 
-/// Handles a claim as the scribe of its partition.
+/// Submits a claim to the scribe of its partition on this daemon and waits for the outcome.
 pub(crate) async fn decide(node: &Arc<Node>, message: &ClaimAsk) -> Outcome {
     let Some(claim) = decode_claim(message) else {
         return Outcome::Unconfirmed;
     };
-    let task = task(node, message.partition);
+    let task = scribe_task(node, message.partition);
     let (reply, outcome) = oneshot::channel();
     let pending = PendingClaim { claim, reply };
     if task.send(pending).await.is_err() {
@@ -165,7 +165,8 @@
     })
 }
 
-fn task(node: &Arc<Node>, partition: u32) -> mpsc::Sender<PendingClaim> {
+/// Returns the channel to the scribe task of a partition, and starts the task if it is not running.
+fn scribe_task(node: &Arc<Node>, partition: u32) -> mpsc::Sender<PendingClaim> {
     let (sender, receiver) = node.scribes.open(partition);
     if let Some(receiver) = receiver {
         tokio::spawn(run(Arc::clone(node), partition, receiver));
@@ -181,42 +182,45 @@
         window: claims.window(),
         timeout: claims.timeout(),
     });
-    let mut waiting = HashMap::new();
-    let (batches, mut read) = mpsc::channel(1);
-    let reader = read_stream(Arc::clone(&node), partition, batches);
+    let mut replies = HashMap::new();
+    let (batch_sender, mut batch_receiver) = mpsc::channel(1);
+    let reader = read_stream(Arc::clone(&node), partition, batch_sender);
     let reader = tokio::spawn(reader);
-    let (results, mut appended) = mpsc::channel(1);
+    let (result_sender, mut result_receiver) = mpsc::channel(1);
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             pending = receiver.recv() => {
                 let Some(PendingClaim { claim, reply }) = pending else { break };
-                waiting.insert(claim.record.request.clone(), reply);
+                replies.insert(claim.record.request.clone(), reply);
                 let answered = scribe.submit(claim, now_millis(), node.now());
-                send_replies(&mut waiting, answered);
+                send_replies(&mut replies, answered);
             }
-            batch = read.recv() => {
+            batch = batch_receiver.recv() => {
                 let Some(batch) = batch else { break };
-                send_replies(&mut waiting, apply(&mut scribe, &batch));
+                send_replies(&mut replies, apply(&mut scribe, &batch));
             }
-            result = appended.recv() => match result {
+            result = result_receiver.recv() => match result {
                 Some((records, Err(error))) if CallError::had_no_effect(&error) => {
                     scribe.not_appended(records);
                 }
                 _ => scribe.appended(),
             },
-            _ = ticks.tick() => send_replies(&mut waiting, scribe.tick(now_millis(), node.now())),
+            _ = ticks.tick() => send_replies(&mut replies, scribe.tick(now_millis(), node.now())),
         }
         if let Some(records) = scribe.batch(node.now()) {
             let node = Arc::clone(&node);
-            let results = results.clone();
+            let result_sender = result_sender.clone();
             tokio::spawn(async move {
                 let texts = records
                     .iter()
                     .map(|record| serde_json::to_string(record).unwrap_or_default());
-                let result = node.log.append(&stream(partition), texts.collect()).await;
-                let _ = results.send((records, result)).await;
+                let result = node
+                    .log
+                    .append(&stream_name(partition), texts.collect())
+                    .await;
+                let _ = result_sender.send((records, result)).await;
             });
         }
     }
@@ -239,29 +243,29 @@
 }
 
 fn send_replies(
-    waiting: &mut HashMap<Request, oneshot::Sender<Outcome>>,
+    replies: &mut HashMap<Request, oneshot::Sender<Outcome>>,
     answers: impl IntoIterator<Item = Answer>,
 ) {
     for answer in answers {
-        if let Some(sender) = waiting.remove(&answer.request) {
+        if let Some(sender) = replies.remove(&answer.request) {
             // The receiver may have timed out.
             let _ = sender.send(answer.outcome);
         }
     }
 }
 
-async fn read_stream(node: Arc<Node>, partition: u32, batches: mpsc::Sender<Batch>) {
-    let stream = stream(partition);
+async fn read_stream(node: Arc<Node>, partition: u32, batch_sender: mpsc::Sender<Batch>) {
+    let stream_name = stream_name(partition);
     let wait = node.settings.table.poll();
     let mut next = ploverwick_names::Offset(1);
     loop {
-        match node.log.read(&stream, next, wait).await {
+        match node.log.read(&stream_name, next, wait).await {
             Ok(batch) => {
                 next = next.max(batch.start);
                 if let Some(last) = batch.records.last() {
                     next = ploverwick_names::Offset(last.offset.0 + 1);
                 }
-                if batches.send(batch).await.is_err() {
+                if batch_sender.send(batch).await.is_err() {
                     return;
                 }
             }
@@ -270,7 +274,7 @@
     }
 }
 
-/// Converts an outcome to its wire format.
+/// Converts an outcome to the message sent to a peer.
 pub(crate) fn to_wire(outcome: Outcome) -> ClaimAnswer {
     let plain = |outcome: WireOutcome| ClaimAnswer {
         outcome: outcome.into(),
--- a/crates/ploverwick_owner/src/record.rs
+++ b/crates/ploverwick_owner/src/record.rs
@@ -3,7 +3,8 @@
 use ploverwick_names::{Endpoint, Life, Token, Variant};
 use serde::{Deserialize, Serialize};
 
-/// A record of the ownership stream. The order in the log decides between competing records.
+/// A record of the ownership stream. Records take effect in log order: the latest claim of an
+/// endpoint wins.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Record {
@@ -28,7 +29,8 @@
         /// The earlier owner.
         life: Life,
     },
-    /// The process is about to order an unload from an engine that does not check fencing tokens.
+    /// The process is about to unload an adapter from an engine that does not check fencing tokens.
+    /// It sends the order only if this record precedes the next claim of the endpoint.
     Intent {
         /// The endpoint.
         endpoint: Endpoint,
@@ -39,13 +41,13 @@
         /// The adapter version to unload.
         variant: Variant,
     },
-    /// The unload that the process announced was done, or will never be sent.
+    /// The unload announced by a [`Record::Intent`] has completed or will never be sent.
     Outcome {
         /// The endpoint.
         endpoint: Endpoint,
         /// The owner.
         life: Life,
-        /// The adapter version that it announced.
+        /// The adapter version of the announced unload.
         variant: Variant,
     },
 }
