--- a/crates/ploverwick_operator/src/stream.rs
+++ b/crates/ploverwick_operator/src/stream.rs
@@ -54,7 +54,7 @@
     }
 
     /// Reads to the end of the stream and calls `on_entry` with each entry and the table in force
-    /// after it.
+    /// after it. `wait` is the long-poll timeout of the first read; later reads do not wait.
     ///
     /// # Errors
     /// Fails if the log cannot be read or contains a record that cannot be decoded.
--- a/crates/ploverwick_ports/src/roster.rs
+++ b/crates/ploverwick_ports/src/roster.rs
@@ -41,7 +41,7 @@
 pub enum Fencing {
     /// Orders with an old token are refused.
     Checked,
-    /// Orders are carried out whatever their token.
+    /// Orders are carried out regardless of their token.
     Ignored,
 }
 
--- a/crates/ploverwick_scenario/src/table.rs
+++ b/crates/ploverwick_scenario/src/table.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 struct Reader {
     history: History,
-    newest: Offset,
+    newest_version: Offset,
 }
 
 impl Simulation {
@@ -61,7 +61,8 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Appends a patch that is based on version `base` and sets the weight of a row.
+    /// Appends a patch that is based on version `base` and sets the weight of a row. Returns its
+    /// offset, or 0 if the row is invalid.
     pub fn publish(&mut self, base: u64, row: &str, weight: u32) -> u64 {
         let (Ok(subject), Ok(column)) = (row.parse::<Subject>(), "weight".parse::<Column>()) else {
             return 0;
@@ -83,7 +84,8 @@
         self.append(Record::Patch(patch))
     }
 
-    /// Lets a reader append a snapshot, unless it has a gap or has accepted no patch.
+    /// Lets a reader append a snapshot, unless it has a gap or has accepted no patch. Returns its
+    /// offset, or 0 if nothing was appended.
     pub fn snapshot(&mut self, reader: usize) -> u64 {
         let history = &self.readers[reader].history;
         if history.has_gap() || history.version() == Offset(0) {
@@ -137,6 +139,7 @@
         }
     }
 
+    /// Lets a reader adopt a snapshot of its own state that claims to include the missing records.
     fn skip_gap(&mut self, reader: usize, offset: u64) {
         let history = &mut self.readers[reader].history;
         if offset > history.next().0 {
@@ -176,15 +179,16 @@
 
     fn check_invariants(&mut self, reader: usize) {
         let version = self.readers[reader].history.version();
-        if version < self.readers[reader].newest {
-            let what = format!("reader {reader} reverted to version {version}");
-            self.violations.push(what);
+        if version < self.readers[reader].newest_version {
+            let violation = format!("reader {reader} reverted to version {version}");
+            self.violations.push(violation);
         }
-        self.readers[reader].newest = version;
+        self.readers[reader].newest_version = version;
         self.compare_readers(reader);
     }
 
-    /// Checks that readers without a gap at the same offset have the same version and table.
+    /// Checks that a reader has the same version and table as the other readers at its offset.
+    /// Readers with a gap are skipped.
     fn compare_readers(&mut self, reader: usize) {
         let mine = &self.readers[reader].history;
         if mine.has_gap() {
@@ -196,8 +200,8 @@
             comparable && (theirs.version() != mine.version() || theirs.table() != mine.table())
         });
         if let Some(other) = differs {
-            let what = format!("readers {reader} and {other} differ");
-            self.violations.push(what);
+            let violation = format!("readers {reader} and {other} differ");
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/ploverwick_settings/src/settings.rs
+++ b/crates/ploverwick_settings/src/settings.rs
@@ -24,7 +24,7 @@
     pub listen: Listen,
     /// The platform's services.
     pub platform: Platform,
-    /// Load limits of the weight store.
+    /// Limits on loads from the weight store.
     #[serde(default)]
     pub store: Store,
     /// Limits on connections, bodies and queues.
@@ -33,7 +33,7 @@
     /// Deadlines and retries of requests.
     #[serde(default)]
     pub requests: Requests,
-    /// Reading of the table's stream.
+    /// Reads and snapshots of the table stream.
     #[serde(default)]
     pub table: TableStream,
     /// Ownership of endpoints.
@@ -89,12 +89,12 @@
 pub struct Platform {
     /// The address of the log service.
     pub log: SocketAddr,
-    /// The address of the list of instances.
+    /// The address of the roster, the platform's list of instances and endpoints.
     pub roster: SocketAddr,
     /// The request timeout for both services, in milliseconds.
     #[serde(default = "Platform::default_timeout_ms")]
     pub timeout_ms: u64,
-    /// The interval between reads of the list, in milliseconds.
+    /// The interval between reads of the roster, in milliseconds.
     #[serde(default = "Platform::default_roster_poll_ms")]
     pub roster_poll_ms: u64,
 }
@@ -111,12 +111,12 @@
     millis! {
         /// Returns the request timeout.
         timeout timeout_ms;
-        /// Returns the interval between reads of the list.
+        /// Returns the interval between reads of the roster.
         roster_poll roster_poll_ms;
     }
 }
 
-/// Load limits of the weight store for all instances together.
+/// Limits on loads from the weight store, for all instances together.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Store {
@@ -147,7 +147,7 @@
     pub connections: usize,
     /// The maximum number of requests queued for one endpoint.
     pub queue_per_endpoint: usize,
-    /// The maximum size of the responses stored for repeated keys, in bytes.
+    /// The maximum total size of the responses stored for repeated idempotency keys, in bytes.
     pub kept_answers_bytes: usize,
 }
 
@@ -195,13 +195,13 @@
     }
 }
 
-/// Reading of the table's stream.
+/// Reads and snapshots of the table stream.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct TableStream {
     /// The long-poll timeout of one read of the log, in milliseconds.
     pub poll_ms: u64,
-    /// The interval between snapshots, in milliseconds.
+    /// The interval between snapshots of the table, in milliseconds.
     pub snapshot_ms: u64,
 }
 
@@ -209,7 +209,7 @@
     millis! {
         /// Returns the long-poll timeout of one read of the log.
         poll poll_ms;
-        /// Returns the interval between snapshots.
+        /// Returns the interval between snapshots of the table.
         snapshot snapshot_ms;
     }
 }
@@ -227,9 +227,11 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct Ownership {
-    /// How long an order may still take effect after its sender ended, in milliseconds.
+    /// How long an order may still take effect after its sender has ended or its response was
+    /// lost, in milliseconds.
     pub order_lag_ms: u64,
-    /// The interval at which a claim is repeated, in milliseconds.
+    /// The interval at which an owner repeats its claim, so that the log's retention does not
+    /// remove it, in milliseconds.
     pub refresh_ms: u64,
     /// The interval at which an endpoint's report is requested, in milliseconds.
     pub report_ms: u64,
@@ -239,9 +241,10 @@
 
 impl Ownership {
     millis! {
-        /// Returns how long an order may still take effect after its sender ended.
+        /// Returns how long an order may still take effect after its sender has ended or its
+        /// response was lost.
         order_lag order_lag_ms;
-        /// Returns the interval at which a claim is repeated.
+        /// Returns the interval at which an owner repeats its claim.
         refresh refresh_ms;
         /// Returns the interval at which an endpoint's report is requested.
         report report_ms;
@@ -307,7 +310,7 @@
     pub probe_timeout_ms: u64,
     /// How long an unresponsive peer is suspected before it counts as gone, in milliseconds.
     pub suspect_ms: u64,
-    /// The maximum delay of the platform's list, in milliseconds.
+    /// The maximum delay until a change appears in the roster, in milliseconds.
     pub list_lag_ms: u64,
 }
 
@@ -319,7 +322,7 @@
         probe_timeout probe_timeout_ms;
         /// Returns how long an unresponsive peer is suspected before it counts as gone.
         suspect suspect_ms;
-        /// Returns the maximum delay of the platform's list.
+        /// Returns the maximum delay until a change appears in the roster.
         list_lag list_lag_ms;
     }
 }
--- a/crates/ploverwick_standin/src/roster.rs
+++ b/crates/ploverwick_standin/src/roster.rs
@@ -1,7 +1,7 @@
 //! A simulated platform roster, whose listing lags behind changes.
 //!
-//! `PUT /listing` replaces the listing, as the platform would on a change; `GET /roster` returns the
-//! listing as it was before the configured lag.
+//! `PUT /listing` replaces the listing, as the platform would on a change. `GET /roster` returns
+//! the new listing only after the configured lag.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/ploverwick_timeline/src/view.rs
+++ b/crates/ploverwick_timeline/src/view.rs
@@ -51,8 +51,13 @@
     for event in events {
         let millis = event.stamp.millis() - start;
         let line = event.to_string();
-        let rest = line.split_once(' ').map_or("", |(_, rest)| rest);
-        let _ = writeln!(out, "{:>6}.{:03}s {rest}", millis / 1000, millis % 1000);
+        let without_stamp = line.split_once(' ').map_or("", |(_, rest)| rest);
+        let _ = writeln!(
+            out,
+            "{:>6}.{:03}s {without_stamp}",
+            millis / 1000,
+            millis % 1000
+        );
     }
     out
 }
