--- a/crates/ploverwick_bench/src/relay.rs
+++ b/crates/ploverwick_bench/src/relay.rs
@@ -1,4 +1,4 @@
-//! The overhead of requests through two daemons compared with requests sent directly to the engine.
+//! Measures the overhead of requests through two daemons over requests sent directly to the engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,12 +25,13 @@
 const CALLER_COUNTS: [usize; 3] = [1, 16, 64];
 const ROUNDS: usize = 3;
 const MODEL: &str = "base:school-000@v1";
-const MAX_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 
 /// The results of one measurement.
 #[derive(Debug, Clone, Serialize)]
 struct Row {
     callers: usize,
+    /// `direct` or `two daemons`.
     way: &'static str,
     p50_us: u64,
     p99_us: u64,
@@ -40,7 +41,7 @@
 
 /// Starts two daemons and one engine. Returns the fleet, the address for callers of the daemon that
 /// does not own the engine, and the address of the engine.
-pub(crate) async fn fleet(engine: engine::Config) -> Result<(Fleet, SocketAddr, SocketAddr)> {
+pub(crate) async fn start_fleet(engine: engine::Config) -> Result<(Fleet, SocketAddr, SocketAddr)> {
     let fleet = Fleet::start(Plan {
         daemons: 2,
         engines: 1,
@@ -57,21 +58,22 @@
         .answers
         .iter()
         .map(|status| status.owned.iter().any(|endpoint| endpoint.owned));
-    let other = owners.into_iter().position(|owns| !owns);
-    let entry = fleet.caller_addresses()[other.context("one daemon does not own the engine")?];
+    let non_owner = owners.into_iter().position(|owns| !owns);
+    let entry =
+        fleet.caller_addresses()[non_owner.context("one daemon does not own the engine")?];
     let engine = fleet.engine_addresses()[0];
     Ok((fleet, entry, engine))
 }
 
 /// Runs all measurements and prints the results.
 pub(crate) async fn run(requests: usize, json: bool) -> Result<()> {
-    let (_fleet, entry, engine) = fleet(engine::Config {
+    let (_fleet, entry, engine) = start_fleet(engine::Config {
         step: Duration::ZERO,
         batch: 1024,
         ..Plan::default().engine
     })
     .await?;
-    // Loads the adapter; the engine has to hold it for direct requests too.
+    // Loads the adapter: the engine refuses direct requests for an adapter that is not loaded.
     send_requests(entry, requests.min(200), 4).await?;
     let mut rows = Vec::new();
     for callers in CALLER_COUNTS {
@@ -127,7 +129,7 @@
         let remaining = Arc::clone(&remaining);
         tasks.spawn(async move {
             let client = Client::new();
-            let mut latencies = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
+            let mut latencies = Histogram::<u64>::new_with_max(MAX_LATENCY_MICROS, 3)?;
             while remaining
                 .fetch_update(Ordering::AcqRel, Ordering::Acquire, |remaining| {
                     remaining.checked_sub(1)
@@ -137,12 +139,12 @@
                 let started = Instant::now();
                 send_request(&client, address).await?;
                 let micros = u64::try_from(started.elapsed().as_micros())?;
-                latencies.record(micros.clamp(1, MAX_MICROS))?;
+                latencies.record(micros.clamp(1, MAX_LATENCY_MICROS))?;
             }
             anyhow::Ok(latencies)
         });
     }
-    let mut merged = Histogram::<u64>::new_with_max(MAX_MICROS, 3)?;
+    let mut merged = Histogram::<u64>::new_with_max(MAX_LATENCY_MICROS, 3)?;
     while let Some(latencies) = tasks.join_next().await {
         merged.add(latencies??)?;
     }
--- a/crates/ploverwick_bench/src/streams.rs
+++ b/crates/ploverwick_bench/src/streams.rs
@@ -43,7 +43,7 @@
 
 /// Runs all measurements and prints the results.
 pub(crate) async fn run(tokens: usize, json: bool) -> Result<()> {
-    let (_fleet, entry, engine) = relay::fleet(engine::Config {
+    let (_fleet, entry, engine) = relay::start_fleet(engine::Config {
         step: TOKEN_INTERVAL,
         batch: 4096,
         ..Plan::default().engine
--- a/crates/ploverwick_demo/tests/engine_faults.rs
+++ b/crates/ploverwick_demo/tests/engine_faults.rs
@@ -1,4 +1,5 @@
-//! Engines that abort responses, restart, respond for another adapter, or fail to load.
+//! Engines that abort responses, restart, respond for another adapter, fail to load or lose order
+//! responses, and callers that disconnect.
 
 mod common;
 
@@ -69,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn retries_on_only_engine() {
+async fn retries_on_the_only_engine() {
     let fleet = ready_fleet(plan(1, 1)).await;
     let faults = engine::Faults {
         cut_heads: 1,
@@ -106,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn engine_restart_during_batch() {
+async fn batch_completes_despite_engine_restarts() {
     let fleet = ready_fleet(Plan {
         engine: slow_engine(15),
         ..plan(2, 2)
@@ -146,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn store_outage() {
+async fn store_outage_fails_only_new_loads() {
     let fleet = ready_fleet(plan(1, 1)).await;
     let warm = send_work(&fleet, 0, &work("warm", "school-000", 4), None).await;
     assert_that!(matches!(warm.result, CallResult::Complete(_)), eq(true));
@@ -174,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn lost_order_responses() {
+async fn requests_complete_despite_lost_order_responses() {
     let fleet = ready_fleet(Plan {
         engine: engine::Config {
             slots: 1,
--- a/crates/ploverwick_dev/src/scenarios.rs
+++ b/crates/ploverwick_dev/src/scenarios.rs
@@ -25,7 +25,7 @@
     ),
 ];
 
-/// Generates the page.
+/// Generates `docs/SCENARIOS.md`.
 ///
 /// # Errors
 /// Fails if a script cannot be read.
--- a/crates/ploverwick_members/tests/member_states.rs
+++ b/crates/ploverwick_members/tests/member_states.rs
@@ -8,7 +8,7 @@
 use ploverwick_members::{Action, Config, Controller, ListEntry, State, Update};
 use ploverwick_names::{Incarnation, Instance, Life, Moment};
 
-const SUSPECT: Duration = Duration::from_secs(2);
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(2);
 const LIST_LAG: Duration = Duration::from_secs(30);
 
 fn life(name: &str, incarnation: u64) -> Life {
@@ -24,20 +24,20 @@
 
 fn controller() -> Controller {
     let config = Config {
-        suspect_timeout: SUSPECT,
+        suspect_timeout: SUSPECT_TIMEOUT,
         list_lag: LIST_LAG,
     };
     Controller::new(life("me", 1), address(), config)
 }
 
 fn list(names: &[&str]) -> BTreeMap<Instance, ListEntry> {
-    let listed = ListEntry {
+    let entry = ListEntry {
         address: address(),
         leaving: false,
     };
     names
         .iter()
-        .map(|name| (Instance::new(name).expect("it is a name"), listed))
+        .map(|name| (Instance::new(name).expect("it is a name"), entry))
         .collect()
 }
 
