--- a/crates/ploverwick_standin/src/roster.rs
+++ b/crates/ploverwick_standin/src/roster.rs
@@ -1,7 +1,7 @@
 //! A simulated platform roster, whose listing lags behind changes.
 //!
-//! `PUT /listing` replaces the listing, as the platform would on a change; `GET /roster` returns the
-//! listing as it was before the configured lag.
+//! `PUT /listing` replaces the listing, as the platform would on a change. `GET /roster` returns
+//! the new listing only after the configured lag.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -122,7 +122,7 @@
 
     fn replace(&self, listing: Listing) -> Reply {
         let detail = format!(
-            "roster changes to {} instances and {} endpoints",
+            "list changes to {} instances and {} endpoints",
             listing.instances.len(),
             listing.endpoints.len()
         );
