--- a/crates/ploverwick_adapters/src/directory.rs
+++ b/crates/ploverwick_adapters/src/directory.rs
@@ -9,7 +9,7 @@
 
 use crate::{Copy, Key, Since, VersionHistory};
 
-/// How long a placer's report takes precedence over the platform's listing, which lags behind.
+/// How long a placer's report takes precedence over the platform's list entry, which lags behind.
 const REPORT_PRECEDENCE: Duration = Duration::from_secs(4);
 /// How long to wait for an adapter that is being loaded before requesting it again.
 const LOADING_TIMEOUT: Duration = Duration::from_millis(1_200);
@@ -37,8 +37,8 @@
 }
 
 impl Directory {
-    /// Applies the platform's listing of an endpoint, unless a placer reported on it recently.
-    pub fn apply_listing(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, now: Moment) {
+    /// Applies the platform's list entry of an endpoint, unless a placer reported on it recently.
+    pub fn apply_list_entry(&mut self, endpoint: &Arc<str>, copies: Vec<Copy>, now: Moment) {
         let reported_at = self
             .endpoints
             .get(endpoint)
--- a/crates/ploverwick_adapters/src/domain.rs
+++ b/crates/ploverwick_adapters/src/domain.rs
@@ -1,7 +1,7 @@
 //! Chooses the failure domain that loads an adapter which no endpoint can serve yet.
 //!
-//! All instances compute the same choice from what they hear, so that an adapter is loaded once and
-//! not in every failure domain. The domain that held it last is preferred, as it loads there ten
+//! All instances compute the same choice from the messages that they receive, so that an adapter is
+//! loaded once and not in every failure domain. The domain that held it last is preferred, as it loads there ten
 //! times as fast and without using the weight store; otherwise the choice follows a hash weighted
 //! by the number of endpoints in each domain. A domain in which many adapters wait for a slot is
 //! passed over: a load requested there and, when that takes too long, in another domain too
--- a/crates/ploverwick_adapters/src/lease.rs
+++ b/crates/ploverwick_adapters/src/lease.rs
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Applies the platform's answer to a request sent at `asked`.
-    pub fn handle_grant(&mut self, grant: Grant, asked: Moment, now: Moment) {
+    /// Applies the platform's answer to a request sent at `requested_at`.
+    pub fn handle_grant(&mut self, grant: Grant, requested_at: Moment, now: Moment) {
         let Grant::Held(token) = grant else {
             self.release(now);
             return;
@@ -109,11 +109,11 @@
         {
             return;
         }
-        let expires = asked + self.policy.duration;
+        let expires = requested_at + self.policy.duration;
         let usable_from = match self.held {
             // If the lease lapsed in between, another instance may have held it, unless the token
             // is the same.
-            Some(held) if held.expires >= asked || held.token == token => held.usable_from,
+            Some(held) if held.expires >= requested_at || held.token == token => held.usable_from,
             Some(_) => {
                 self.release(now);
                 self.wait_until(now)
--- a/crates/ploverwick_adapters/src/slots.rs
+++ b/crates/ploverwick_adapters/src/slots.rs
@@ -24,8 +24,8 @@
 /// How often a pending order is polled for completion, by sending it again. A poll costs little
 /// more than the message.
 const POLL_INTERVAL: Duration = Duration::from_millis(18);
-/// How long an instance's statement that it uses an adapter is valid. Instances repeat it every 150
-/// ms, so that four lost messages in a row do not free an adapter, and a lost final message does
+/// How long an instance's statement that it uses an adapter is valid. Instances send it again every
+/// 150 ms, so that four lost messages in a row do not free an adapter, and a lost final message does
 /// not block its slot forever.
 const USE_TTL: Duration = Duration::from_millis(700);
 /// The number of consecutive orders and report requests without an answer after which an endpoint
@@ -140,7 +140,7 @@
     /// An order without an answer. It is resent unchanged: as it carries the number of accepted
     /// orders, only one of the two can be carried out.
     unanswered: Option<Order>,
-    /// An adapter whose load is assumed to be accepted because its repeat was refused. Until the
+    /// An adapter whose load is assumed to be accepted because its retry was refused. Until the
     /// next report, another order may have been accepted instead, so that the endpoint may hold an
     /// unknown adapter, or none, so that the number of accepted orders is lower than assumed.
     assumed: Option<Copy>,
--- a/crates/ploverwick_adapters/src/slots/answers.rs
+++ b/crates/ploverwick_adapters/src/slots/answers.rs
@@ -22,7 +22,7 @@
 impl Slots {
     /// Applies the endpoint's answer to an order.
     pub fn handle_answer(&mut self, order: &Order, answer: Answer, now: Moment) -> Option<Event> {
-        let is_repeat = self.unanswered.take().is_some();
+        let is_retry = self.unanswered.take().is_some();
         self.last_order = Some(now);
         self.record_contact(!matches!(answer, Answer::Unknown | Answer::Gone), now);
         if self.is_presence_check(order) {
@@ -36,12 +36,12 @@
             Answer::Done => self.on_done(order, now),
             // The unload may have been refused because the adapter is in use, so nothing can be
             // assumed about the first attempt.
-            Answer::Conflict if is_repeat && order.op == Op::Unload => {
+            Answer::Conflict if is_retry && order.op == Op::Unload => {
                 self.require_report(now + REPORT_LAG);
                 None
             }
             Answer::Conflict
-                if is_repeat && order.adapter.is_some() && self.can_assume_accepted() =>
+                if is_retry && order.adapter.is_some() && self.can_assume_accepted() =>
             {
                 self.assume_accepted(order, now)
             }
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Returns whether a refused repeat indicates that the first attempt was accepted. While an
+    /// Returns whether a refused retry indicates that the first attempt was accepted. While an
     /// unload waits for its running requests, an endpoint refuses every other order, whatever its
     /// number.
     fn can_assume_accepted(&self) -> bool {
@@ -243,7 +243,7 @@
         self.assumed.is_none() && !self.by_copy.values().any(is_unloading)
     }
 
-    /// Handles the refused repeat of an unanswered load: most likely the first attempt was accepted
+    /// Handles the refused retry of an unanswered load: most likely the first attempt was accepted
     /// and raised the number of accepted orders. The next report shows whether it did.
     fn assume_accepted(&mut self, order: &Order, now: Moment) -> Option<Event> {
         let (adapter, version) = order.adapter.clone()?;
--- a/crates/ploverwick_adapters/src/slots/plan.rs
+++ b/crates/ploverwick_adapters/src/slots/plan.rs
@@ -10,10 +10,10 @@
 /// The number of loads that the platform allows an endpoint to run at once.
 const MAX_CONCURRENT_LOADS: usize = 4;
 /// How long an adapter that was just loaded is protected from eviction: the request that waited for
-/// it is on its way, and the statement of its use arrives up to 150 ms later.
+/// it is being sent, and the statement of its use arrives up to 150 ms later.
 const LOADED_GRACE: Duration = Duration::from_millis(350);
 /// How long an adapter is protected from eviction after its last use, as another request for it may
-/// be on its way.
+/// be in transit.
 const USED_GRACE: Duration = Duration::from_millis(120);
 /// How long a requested load stays pending. Requests that still wait ask again every 70 ms, so that
 /// four lost messages in a row do not drop the load, and an adapter that is no longer needed is not
@@ -181,7 +181,7 @@
 
 impl Slot {
     /// Returns whether the grace period after the load or last use has passed, so that no request
-    /// for the adapter is expected to be on its way.
+    /// for the adapter is expected to be in transit.
     fn is_past_grace(&self, now: Moment) -> bool {
         let fresh = if self.was_used {
             USED_GRACE
--- a/crates/ploverwick_adapters/tests/late_orders.rs
+++ b/crates/ploverwick_adapters/tests/late_orders.rs
@@ -6,13 +6,13 @@
 //! on days on which most orders got no answer and were carried out seconds later.
 //!
 //! Sequence: while an unload waited for the running requests, the endpoint refused every other
-//! order. A load at number 30 got no answer and its repeat was refused, so the placer went on to 31
+//! order. A load at number 30 got no answer and its retry was refused, so the placer went on to 31
 //! with a poll, which was delayed. The report said 30 with fourteen adapters held. After a restart
 //! a load was accepted at 30, and the next one, at 31, got no answer. The delayed poll was carried
-//! out at 31 and loaded the sixteenth adapter. The repeat at 31 was refused, and the poll at 32
+//! out at 31 and loaded the sixteenth adapter. The retry at 31 was refused, and the poll at 32
 //! loaded the seventeenth.
 //!
-//! Cause: a refused repeat was taken as proof that the first attempt had been accepted, and the
+//! Cause: a refused retry was taken as proof that the first attempt had been accepted, and the
 //! assumed load was polled although a poll loads an adapter that is missing and no slot was kept
 //! free for that. The restart is not needed: `late_polls_after_wrong_assumption_fit` fails without
 //! one. `late_polls_after_restart_fit` replays the recorded orders of that endpoint.
@@ -389,7 +389,7 @@
     scenario.now = scenario.now + Duration::from_secs(1);
     let unload = Some((Op::Unload, Answer::Accepted));
     assert_eq!(scenario.send_next(&newer), unload);
-    // The load gets no answer, and its repeat is refused while the unload waits.
+    // The load gets no answer, and its retry is refused while the unload waits.
     let load = scenario.send_late(&newer).expect("a load is due");
     assert_eq!(
         scenario.send_next(&newer),
--- a/crates/ploverwick_adapters/tests/older_version.rs
+++ b/crates/ploverwick_adapters/tests/older_version.rs
@@ -17,10 +17,10 @@
 #[googletest::test]
 fn start_deadline_precedes_bound() {
     let declared = Moment(10_000);
-    let heard = declared + DECLARATION_DELAY;
-    let since = Since::NotBefore(heard);
+    let learned_at = declared + DECLARATION_DELAY;
+    let since = Since::NotBefore(learned_at);
     for after in (0..8_000).step_by(50) {
-        let now = heard + Duration::from_millis(after);
+        let now = learned_at + Duration::from_millis(after);
         if POLICY.may_choose(since, now) {
             let latest = POLICY.start_deadline(Some(since), now);
             expect_that!(latest.since(declared), lt(POLICY.bound));
--- a/crates/ploverwick_adapters/tests/slot_limit.rs
+++ b/crates/ploverwick_adapters/tests/slot_limit.rs
@@ -1,4 +1,4 @@
-//! However orders are lost, delayed and repeated, an endpoint never holds and loads more adapters
+//! However orders are lost, delayed and retried, an endpoint never holds and loads more adapters
 //! than it has slots.
 
 use std::net::IpAddr;
@@ -183,7 +183,7 @@
 
 /// Found by scale-1: an order without an answer blocked its endpoint for 700 ms.
 #[googletest::test]
-fn unanswered_order_is_repeated() {
+fn unanswered_order_is_retried() {
     let mut slots = empty_slots();
     slots.request_load(copy(1, 1), Moment(1));
     let Step::Send(order) = slots.next_step(Moment(1), true) else {
@@ -194,7 +194,7 @@
 }
 
 #[googletest::test]
-fn refused_repeat_counts_as_accepted() {
+fn refused_retry_counts_as_accepted() {
     let mut slots = empty_slots();
     slots.request_load(copy(1, 1), Moment(1));
     let Step::Send(order) = slots.next_step(Moment(1), true) else {
--- a/crates/ploverwick_adapters/tests/unresponsive_endpoint.rs
+++ b/crates/ploverwick_adapters/tests/unresponsive_endpoint.rs
@@ -67,7 +67,7 @@
 }
 
 /// Found by scale-1: adapters pending at an endpoint that had crashed were requested there
-/// repeatedly, until the listing dropped the endpoint three seconds later.
+/// repeatedly, until the list dropped the endpoint three seconds later.
 #[googletest::test]
 fn pending_load_moves_to_responsive_endpoint() {
     let names = names(2);
--- a/crates/ploverwick_bench/src/decide.rs
+++ b/crates/ploverwick_bench/src/decide.rs
@@ -157,12 +157,12 @@
         let loads = (0..10).map(|n| {
             let load = Load {
                 requests: 1,
-                reading: 700,
+                unread_tokens: 700,
             };
             (id((peer * 10 + n) % endpoints), load)
         });
         let loads: HashMap<_, _> = loads.collect();
-        fleet.record_report(Arc::from(format!("p{peer}")), loads, NOW);
+        fleet.record_peer_loads(Arc::from(format!("p{peer}")), loads, NOW);
     }
     fleet
 }
--- a/crates/ploverwick_daemon/src/controllers/members.rs
+++ b/crates/ploverwick_daemon/src/controllers/members.rs
@@ -40,13 +40,13 @@
         outage.answered();
         if let Some(changed) = read {
             tag = changed.tag;
-            apply_listing(&node, changed.value);
+            apply_list_entry(&node, changed.value);
         }
         find_ended(&node);
     }
 }
 
-fn apply_listing(node: &Arc<Node>, read: Listing) {
+fn apply_list_entry(node: &Arc<Node>, read: Listing) {
     let instances = listing::instances(&read);
     let now = node.now();
     let actions = lock(&node.members).apply_list(&instances, now);
--- a/crates/ploverwick_endpoints/src/absences.rs
+++ b/crates/ploverwick_endpoints/src/absences.rs
@@ -20,7 +20,7 @@
 /// The endpoints that are missing from the list and may return.
 #[derive(Debug, Default)]
 pub struct Absences {
-    is_store_down: bool,
+    is_store_unavailable: bool,
     recovered_at: Option<Moment>,
     missing: HashMap<Arc<str>, Moment>,
 }
@@ -28,12 +28,12 @@
 impl Absences {
     /// Records that reading the store failed.
     pub fn record_store_failure(&mut self) {
-        self.is_store_down = true;
+        self.is_store_unavailable = true;
     }
 
     /// Records that the store was read. Must be called before the entries of that read are applied.
     pub fn record_store_read(&mut self, now: Moment) {
-        self.recovered_at = std::mem::take(&mut self.is_store_down).then_some(now);
+        self.recovered_at = std::mem::take(&mut self.is_store_unavailable).then_some(now);
     }
 
     /// Records that an endpoint is missing from the list. Returns whether it must be removed immediately.
--- a/crates/ploverwick_endpoints/src/departures.rs
+++ b/crates/ploverwick_endpoints/src/draining_reports.rs
@@ -8,11 +8,11 @@
 
 /// The time of the latest answer in which each endpoint reported that it is leaving.
 #[derive(Debug, Default)]
-pub struct Departures {
+pub struct DrainingReports {
     last_reported: HashMap<Arc<str>, Moment>,
 }
 
-impl Departures {
+impl DrainingReports {
     /// Records that an endpoint reported at `now` that it is leaving.
     pub fn record(&mut self, endpoint: &Arc<str>, now: Moment) {
         self.last_reported.insert(Arc::clone(endpoint), now);
--- a/crates/ploverwick_endpoints/src/fleet.rs
+++ b/crates/ploverwick_endpoints/src/fleet.rs
@@ -9,8 +9,8 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::load::{Load, PromptPace};
-use crate::reports::{Report, Reports};
-use crate::{Entry, Health, Outcome, State, reports};
+use crate::peer_loads::{PeerLoad, PeerLoads};
+use crate::{Entry, Health, Outcome, State, peer_loads};
 
 /// The cost of sending a request to an endpoint, comparable to milliseconds of latency.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
@@ -104,8 +104,8 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     members: HashMap<Arc<str>, Member>,
-    reports: Reports,
-    /// The load of all instances at each endpoint as reported by its placer, and when the report was received.
+    peer_loads: PeerLoads,
+    /// The load of all instances at each endpoint as summed by its placer, and when the sum was received.
     totals: HashMap<Arc<str>, (Load, Moment)>,
     /// The sum of the hashes of all list entries, modulo 2^64. It is updated incrementally because each message
     /// about the list needs it, and hashing 3,000 entries takes 3 ms.
@@ -207,7 +207,7 @@
     pub fn record_sent(&mut self, id: &str, prompt: u32) {
         if let Some(member) = self.members.get_mut(id) {
             member.own.requests += 1;
-            member.own.reading += prompt;
+            member.own.unread_tokens += prompt;
             member.health.record_sent();
         }
     }
@@ -215,7 +215,7 @@
     /// Records that an endpoint finished reading a prompt, or that the request ended before.
     pub fn record_prompt_read(&mut self, id: &str, prompt: u32) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.reading = member.own.reading.saturating_sub(prompt);
+            member.own.unread_tokens = member.own.unread_tokens.saturating_sub(prompt);
         }
     }
 
@@ -244,8 +244,13 @@
     }
 
     /// Records the loads of a peer.
-    pub fn record_report(&mut self, peer: Arc<str>, loads: HashMap<Arc<str>, Load>, now: Moment) {
-        self.reports.add(peer, Report { at: now, loads }, now);
+    pub fn record_peer_loads(
+        &mut self,
+        peer: Arc<str>,
+        loads: HashMap<Arc<str>, Load>,
+        now: Moment,
+    ) {
+        self.peer_loads.add(peer, PeerLoad { at: now, loads }, now);
     }
 
     /// Records the load of all instances at an endpoint, as summed by its placer.
@@ -261,19 +266,19 @@
 
     /// Returns the known load of an endpoint.
     ///
-    /// This is the maximum of the load from direct reports, which is more recent, and of the total from the
+    /// This is the maximum of the load received directly from peers, which is more recent, and of the total from the
     /// placer, which is more complete.
     pub fn load(&self, id: &str, now: Moment) -> Load {
         let total = self.totals.get(id);
-        let total = total.filter(|(_, at)| now.since(*at) <= reports::MAX_REPORT_AGE);
+        let total = total.filter(|(_, at)| now.since(*at) <= peer_loads::MAX_PEER_LOAD_AGE);
         let total = total.map_or_else(Load::default, |(load, _)| *load);
-        self.reported_load(id, now).max(total)
+        self.direct_load(id, now).max(total)
     }
 
-    /// Returns the load of this instance and of the peers that report to it directly.
-    pub fn reported_load(&self, id: &str, now: Moment) -> Load {
+    /// Returns the load of this instance and of the peers that send theirs to it directly.
+    pub fn direct_load(&self, id: &str, now: Moment) -> Load {
         let own = self.members.get(id).map_or_else(Load::default, |m| m.own);
-        own + self.reports.load(id, now)
+        own + self.peer_loads.load(id, now)
     }
 
     /// Returns the expected time to the first event of an answer: the time to read the queued prompts and the
@@ -285,7 +290,7 @@
     }
 
     fn expected_ms(&self, member: &Member, prompt: u32, now: Moment) -> f64 {
-        let ahead = self.load(&member.entry.id, now).reading;
+        let ahead = self.load(&member.entry.id, now).unread_tokens;
         f64::from(ahead.saturating_add(prompt)) * member.pace.ms_per_token()
     }
 
--- a/crates/ploverwick_endpoints/src/lib.rs
+++ b/crates/ploverwick_endpoints/src/lib.rs
@@ -1,12 +1,12 @@
 //! Tracks the state of endpoints on one instance and selects an endpoint for each request.
 //!
 //! This crate performs no I/O and reads no clock: callers pass in the current time and exchange the
-//! messages. An instance knows its own requests exactly, and those of its peers as of their last report.
+//! messages. An instance knows its own requests exactly, and those of its peers as of their last message.
 
 mod absences;
 mod answer_timeout;
 mod budget;
-mod departures;
+mod draining_reports;
 mod entry;
 mod fleet;
 mod health;
@@ -16,12 +16,12 @@
 mod limits;
 mod load;
 mod pauses;
-mod reports;
+mod peer_loads;
 
 pub use absences::Absences;
 pub use answer_timeout::answer_timeout;
 pub use budget::{Balance, Budget, RetryPolicy};
-pub use departures::Departures;
+pub use draining_reports::DrainingReports;
 pub use entry::{Entry, Held, State};
 pub use fleet::{Cost, Fleet, Query};
 pub use health::{Health, Outcome};
--- a/crates/ploverwick_endpoints/src/load.rs
+++ b/crates/ploverwick_endpoints/src/load.rs
@@ -9,7 +9,7 @@
     /// The number of requests in progress.
     pub requests: u32,
     /// The prompt tokens of requests whose answers have not started.
-    pub reading: u32,
+    pub unread_tokens: u32,
 }
 
 impl Add for Load {
@@ -18,7 +18,7 @@
     fn add(self, other: Self) -> Self {
         Self {
             requests: self.requests + other.requests,
-            reading: self.reading.saturating_add(other.reading),
+            unread_tokens: self.unread_tokens.saturating_add(other.unread_tokens),
         }
     }
 }
@@ -28,7 +28,7 @@
     pub(crate) fn saturating_sub(self, part: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(part.requests),
-            reading: self.reading.saturating_sub(part.reading),
+            unread_tokens: self.unread_tokens.saturating_sub(part.unread_tokens),
         }
     }
 
@@ -36,7 +36,7 @@
     pub(crate) fn max(self, other: Self) -> Self {
         Self {
             requests: self.requests.max(other.requests),
-            reading: self.reading.max(other.reading),
+            unread_tokens: self.unread_tokens.max(other.unread_tokens),
         }
     }
 }
--- a/crates/ploverwick_endpoints/tests/departures.rs
+++ b/crates/ploverwick_endpoints/tests/draining_reports.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use ploverwick_endpoints::{Departures, Entry, Fleet, State};
+use ploverwick_endpoints::{DrainingReports, Entry, Fleet, State};
 use ploverwick_names::Moment;
 
 fn entry(id: &str) -> Entry {
@@ -50,12 +50,12 @@
 /// Guards against departures that are broadcast indefinitely.
 #[googletest::test]
 fn old_departures_are_not_recent() {
-    let mut departures = Departures::default();
+    let mut draining_reports = DrainingReports::default();
     let endpoint: Arc<str> = Arc::from("i-a");
-    departures.record(&endpoint, Moment(1_000));
+    draining_reports.record(&endpoint, Moment(1_000));
     let max_age = Duration::from_secs(2);
-    expect_that!(departures.recent(max_age, Moment(3_000)).len(), eq(1));
-    expect_that!(departures.recent(max_age, Moment(3_001)).len(), eq(0));
-    departures.remove("i-a");
-    expect_that!(departures.recent(max_age, Moment(1_000)).len(), eq(0));
+    expect_that!(draining_reports.recent(max_age, Moment(3_000)).len(), eq(1));
+    expect_that!(draining_reports.recent(max_age, Moment(3_001)).len(), eq(0));
+    draining_reports.remove("i-a");
+    expect_that!(draining_reports.recent(max_age, Moment(1_000)).len(), eq(0));
 }
--- a/crates/ploverwick_endpoints/tests/endpoint_choice.rs
+++ b/crates/ploverwick_endpoints/tests/endpoint_choice.rs
@@ -64,10 +64,10 @@
     let mut fleet = fleet();
     let load = Load {
         requests: 6,
-        reading: 0,
+        unread_tokens: 0,
     };
     let loads = HashMap::from([(Arc::from("a"), load)]);
-    fleet.record_report(Arc::from("peer"), loads, Moment(0));
+    fleet.record_peer_loads(Arc::from("peer"), loads, Moment(0));
     expect_that!(first(&fleet, Moment(10)).as_deref(), some(not(eq("a"))));
     // An expired report is ignored.
     expect_that!(first(&fleet, Moment(9_000)).as_deref(), some(eq("a")));
--- a/crates/ploverwick_endpoints/tests/many_endpoints.rs
+++ b/crates/ploverwick_endpoints/tests/many_endpoints.rs
@@ -55,7 +55,7 @@
     let loads = (0..40).map(|_| {
         let load = Load {
             requests: random.random_range(1..4),
-            reading: random.random_range(0..3_000),
+            unread_tokens: random.random_range(0..3_000),
         };
         (id(random.random_range(0..ENDPOINTS)), load)
     });
@@ -75,7 +75,7 @@
         }
     }
     for peer in 0..PEERS {
-        fleet.record_report(Arc::from(format!("p{peer}")), loads(random), now);
+        fleet.record_peer_loads(Arc::from(format!("p{peer}")), loads(random), now);
     }
     fleet
 }
@@ -131,18 +131,18 @@
             now = now + EXPIRY;
         }
         let peer = format!("p{}", random.random_range(0..PEERS));
-        fleet.record_report(Arc::from(peer), loads(&mut random), now);
+        fleet.record_peer_loads(Arc::from(peer), loads(&mut random), now);
     }
     // Reports from before the last expiry no longer count.
     now = now + EXPIRY;
     let last = loads(&mut random);
-    fleet.record_report(Arc::from("p0"), last.clone(), now);
+    fleet.record_peer_loads(Arc::from("p0"), last.clone(), now);
     for number in 0..ENDPOINTS {
         let expected = last.get(&id(number)).copied().unwrap_or_default();
-        expect_that!(fleet.reported_load(&id(number), now), eq(expected));
+        expect_that!(fleet.direct_load(&id(number), now), eq(expected));
     }
     let later = now + EXPIRY;
-    let busy = (0..ENDPOINTS).filter(|n| fleet.reported_load(&id(*n), later) != Load::default());
+    let busy = (0..ENDPOINTS).filter(|n| fleet.direct_load(&id(*n), later) != Load::default());
     expect_that!(busy.count(), eq(0));
 }
 
--- a/crates/ploverwick_gateway/src/broadcast.rs
+++ b/crates/ploverwick_gateway/src/broadcast.rs
@@ -1,7 +1,7 @@
 //! Messages that this instance sends to other instances.
 //!
 //! Instances of a failure domain send messages to each other directly. What concerns endpoints crosses to
-//! another failure domain only through its placer, which forwards it there. The number of messages and bytes
+//! another failure domain only through its placer, which relays it there. The number of messages and bytes
 //! between two domains therefore does not grow with the product of their instance counts.
 
 mod batches;
@@ -34,8 +34,8 @@
 const MAX_PEERS_ASKED: usize = 4;
 
 /// Asks the instance at `ip` to have an adapter loaded.
-pub(crate) fn send_need(shared: &Shared, ip: IpAddr, copy: &Copy, need: Need) {
-    let message = Message::Need {
+pub(crate) fn send_load_request(shared: &Shared, ip: IpAddr, copy: &Copy, need: Need) {
+    let message = Message::LoadRequest {
         copy: copy.clone(),
         need,
     };
@@ -49,7 +49,7 @@
         Event::Loading(copy) => (copy, ChangeKind::Loading),
         Event::Loaded(copy) => (copy, ChangeKind::Loaded),
         Event::Unloaded(copy) => (copy, ChangeKind::Unloaded),
-        Event::Reported(copies) => return send_reported(shared, endpoint, copies),
+        Event::Reported(copies) => return send_report(shared, endpoint, copies),
         Event::BaseLoaded(_) => return,
     };
     let change = Change {
@@ -63,8 +63,8 @@
     }
 }
 
-/// Sends the complete holdings of an endpoint, after the pending changes that precede them.
-fn send_reported(shared: &Shared, endpoint: &Arc<str>, copies: &[Copy]) {
+/// Sends a report of all adapters that an endpoint holds, after the pending changes that precede it.
+fn send_report(shared: &Shared, endpoint: &Arc<str>, copies: &[Copy]) {
     flush(shared);
     let now = shared.now();
     let state = shared.state();
@@ -108,7 +108,7 @@
 
 /// Notifies the peers of this failure domain that this instance has left the placer group, so that one of
 /// them may become the placer.
-pub(crate) fn send_vacant(shared: &Shared) {
+pub(crate) fn send_lease_released(shared: &Shared) {
     let to = domain_peers(shared, &shared.state());
     shared.peer_socket.send(&Message::LeaseReleased, &to);
 }
@@ -169,7 +169,7 @@
         to = remote_relays(shared, &state, now);
     }
     // Limits of endpoints that are not on the list yet would be dropped.
-    let can_ask = state.has_roster && !to.is_empty();
+    let can_ask = state.has_endpoint_list && !to.is_empty();
     drop(state);
     if can_ask {
         shared
@@ -189,21 +189,21 @@
     }
 }
 
-/// Forwards a message from the placer of another failure domain to the peers of this one.
-pub(crate) fn forward(shared: &Shared, message: &Message) {
+/// Relays a message from the placer of another failure domain to the peers of this one.
+pub(crate) fn relay(shared: &Shared, message: &Message) {
     let to = domain_peers(shared, &shared.state());
     shared.peer_socket.send(message, &to);
 }
 
 /// Sends the peers of this failure domain the changes to the list of endpoints.
-pub(crate) fn send_list_changes(
+pub(crate) fn send_endpoint_list_update(
     shared: &Shared,
     changed: Vec<Entry>,
-    gone: Vec<Arc<str>>,
+    removed: Vec<Arc<str>>,
     digest: u64,
 ) {
     let peers = domain_peers(shared, &shared.state());
-    for message in batches::list_messages(changed, gone, digest) {
+    for message in batches::endpoint_list_messages(changed, removed, digest) {
         shared.peer_socket.send(&message, &peers);
     }
 }
@@ -223,15 +223,15 @@
     }
 }
 
-/// Asks the instance at `ip` for the holdings of endpoints.
-pub(crate) fn request_holdings(shared: &Shared, ip: IpAddr, endpoints: Vec<Arc<str>>) {
+/// Requests reports of the adapters that endpoints hold from the instance at `ip`.
+pub(crate) fn request_reports(shared: &Shared, ip: IpAddr, endpoints: Vec<Arc<str>>) {
     shared
         .peer_socket
         .send(&Message::EndpointReportRequest(endpoints), &[ip]);
 }
 
-/// Sends the instance at `ip` the holdings of endpoints, as far as this instance knows them.
-pub(crate) fn send_holdings(shared: &Shared, ip: IpAddr, endpoints: &[Arc<str>]) {
+/// Sends the instance at `ip` reports of the adapters that endpoints hold, as far as this instance knows them.
+pub(crate) fn send_reports(shared: &Shared, ip: IpAddr, endpoints: &[Arc<str>]) {
     for endpoint in endpoints {
         let held = shared.state().directory.held(endpoint);
         if let Some(held) = held {
@@ -248,7 +248,7 @@
     local.map(|peer| peer.ip).collect()
 }
 
-/// Returns the instances that forward messages within other failure domains: the placer, or every instance of
+/// Returns the instances that relay messages within other failure domains: the placer, or every instance of
 /// a domain without one.
 fn remote_relays(shared: &Shared, state: &State, now: Moment) -> Vec<IpAddr> {
     let mut relays = Vec::new();
--- a/crates/ploverwick_gateway/src/broadcast/batches.rs
+++ b/crates/ploverwick_gateway/src/broadcast/batches.rs
@@ -19,17 +19,17 @@
 
 /// Splits changes to the list of endpoints into messages. The digest matches the receiver's list only after
 /// the last message.
-pub(super) fn list_messages(
+pub(super) fn endpoint_list_messages(
     mut changed: Vec<Entry>,
-    mut gone: Vec<Arc<str>>,
+    mut removed: Vec<Arc<str>>,
     digest: u64,
 ) -> Vec<Message> {
     let mut messages = Vec::new();
     loop {
         let rest = changed.split_off(changed.len().min(MAX_ENTRIES_PER_MESSAGE));
-        messages.push(Message::RosterUpdate {
+        messages.push(Message::EndpointListUpdate {
             changed: std::mem::replace(&mut changed, rest),
-            removed: std::mem::take(&mut gone),
+            removed: std::mem::take(&mut removed),
             digest,
         });
         if changed.is_empty() {
@@ -39,7 +39,7 @@
 }
 
 /// Splits records into messages of bounded size. A record that does not fit into a message ends the sequence
-/// with [`Message::End`].
+/// with [`Message::TopicEnd`].
 pub(super) fn record_messages(
     topic: Topic,
     from: Position,
--- a/crates/ploverwick_gateway/src/broadcast/periodic.rs
+++ b/crates/ploverwick_gateway/src/broadcast/periodic.rs
@@ -31,7 +31,7 @@
 const FORMER_PEER_RETENTION: Duration = Duration::from_secs(20);
 /// How many times an instance asks for the limits of endpoints after it starts, because messages may be lost.
 const MAX_LIMIT_REQUESTS: u32 = 3;
-/// The number of rounds between digests of holdings and crashes, limits of endpoints, and draining endpoints.
+/// The number of rounds between digests of adapters and crashes, limits of endpoints, and draining endpoints.
 const DIGEST_INTERVAL_ROUNDS: u32 = 14;
 
 /// Sends the periodic messages for as long as the process runs.
@@ -57,7 +57,7 @@
     // A gap between ticks that exceeds the interval reveals that the process was suspended.
     state.watermark.tick(now);
     limits::assign_shares(shared, &mut state, now);
-    let places = state.placer_lease.token(now);
+    let placer_token = state.placer_lease.token(now);
     let is_remote_round = round.is_multiple_of(REMOTE_INTERVAL_ROUNDS);
     let mut to = status_recipients(shared, &state, round, now);
     if is_remote_round {
@@ -66,11 +66,11 @@
             .retain(|(_, left)| now.since(*left) < FORMER_PEER_RETENTION);
         to.extend(state.former_peers.iter().map(|(ip, _)| *ip));
     }
-    let mut messages = vec![(status(shared, &state, places, |_| true), to)];
+    let mut messages = vec![(status(shared, &state, placer_token, |_| true), to)];
     if is_remote_round {
-        remote_statuses(shared, &state, places, now, &mut messages);
+        remote_statuses(shared, &state, placer_token, now, &mut messages);
     }
-    if places.is_some() {
+    if placer_token.is_some() {
         let local = domain_peers(shared, &state);
         if round.is_multiple_of(TOTALS_INTERVAL_ROUNDS) {
             let mut to = local.clone();
@@ -103,13 +103,13 @@
             .recent_updates(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
         chunks(updates, &to, Message::EndpointLimits, &mut messages);
         let draining = state
-            .departures
+            .draining_reports
             .recent(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
         chunks(draining, &to, Message::Draining, &mut messages);
     }
     if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) && !state.quarantine.is_empty() {
         let mut to = status_recipients(shared, &state, round, now);
-        if places.is_some() {
+        if placer_token.is_some() {
             to.extend(remote_relays(shared, &state, now));
         }
         let digests = state.quarantine.digests();
@@ -159,7 +159,7 @@
 fn status(
     shared: &Shared,
     state: &State,
-    places: Option<u64>,
+    placer_token: Option<u64>,
     is_relevant: impl Fn(&str) -> bool,
 ) -> Message {
     let loads = state.fleet.own_loads().into_iter();
@@ -169,7 +169,7 @@
         instance: Arc::clone(&shared.settings.instance),
         domain: Arc::clone(&shared.settings.domain),
         capacity: shared.settings.capacity,
-        placer_token: places,
+        placer_token,
         waiting: u32::try_from(state.placer.waiting()).unwrap_or(u32::MAX),
         read_states: state.read_states,
         loads: loads.collect(),
@@ -181,7 +181,7 @@
 fn remote_statuses(
     shared: &Shared,
     state: &State,
-    places: Option<u64>,
+    placer_token: Option<u64>,
     now: Moment,
     messages: &mut Vec<(Message, Vec<IpAddr>)>,
 ) {
@@ -193,9 +193,9 @@
             entry.is_some_and(|entry| entry.domain == *domain)
         };
         let peers = state.peers.values().filter(|peer| peer.domain == *domain);
-        let recipients = peers.filter(|peer| places.is_some() || relays.contains(&peer.ip));
+        let recipients = peers.filter(|peer| placer_token.is_some() || relays.contains(&peer.ip));
         let to = recipients.map(|peer| peer.ip).collect();
-        messages.push((status(shared, state, places, is_in_domain), to));
+        messages.push((status(shared, state, placer_token, is_in_domain), to));
     }
 }
 
@@ -204,13 +204,13 @@
     let own = state.fleet.entries();
     let own = own.filter(|entry| entry.domain == shared.settings.domain);
     let totals = own.map(|entry| {
-        let load = state.fleet.reported_load(&entry.id, now);
+        let load = state.fleet.direct_load(&entry.id, now);
         EndpointLoad::new(Arc::clone(&entry.id), load)
     });
     totals.collect()
 }
 
-/// Returns digests of the holdings of the endpoints at which this instance places adapters, as far as they
+/// Returns digests of the adapters at the endpoints at which this instance places adapters, as far as they
 /// are known.
 fn digests(state: &State) -> Vec<EndpointDigest> {
     let known = state
--- a/crates/ploverwick_gateway/src/broadcast/quarantine.rs
+++ b/crates/ploverwick_gateway/src/broadcast/quarantine.rs
@@ -67,7 +67,7 @@
     shared: &Shared,
     ip: IpAddr,
     digests: &[u64; DIGEST_BUCKETS],
-    asks: bool,
+    wants_reply: bool,
 ) {
     let now = shared.now();
     let state = shared.state();
@@ -75,7 +75,7 @@
     let differing = state.quarantine.differing(digests, now);
     drop(state);
     send(shared, &differing, &[ip]);
-    if asks && own != *digests {
+    if wants_reply && own != *digests {
         let message = Message::QuarantineDigests {
             digests: own,
             wants_reply: false,
--- a/crates/ploverwick_gateway/src/controllers.rs
+++ b/crates/ploverwick_gateway/src/controllers.rs
@@ -4,19 +4,19 @@
 mod bootstrap;
 
 pub(crate) mod crashes;
-pub(crate) mod demand;
 pub(crate) mod draining;
+pub(crate) mod endpoint_list;
 mod feed;
 pub(crate) mod freshness;
 pub(crate) mod instances;
 pub(crate) mod limits;
+pub(crate) mod load_requests;
 pub(crate) mod operator;
 pub(crate) mod orders;
 pub(crate) mod pauses;
 pub(crate) mod placer_lease;
 pub(crate) mod quarantine;
 pub(crate) mod quotas;
-pub(crate) mod roster;
 pub(crate) mod table;
 mod topic;
 
@@ -28,7 +28,7 @@
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// The maximum delay between retries. Each call is charged for, even one that fails.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(600);
-/// The same for an instance whose peers call the store for it and forward what they read. It is below the 3 s
+/// The same for an instance whose peers call the store for it and relay what they read. It is below the 3 s
 /// within which the platform counts on an instance again after an outage.
 const MAX_FOLLOWER_RETRY_DELAY: Duration = Duration::from_millis(2_400);
 
@@ -44,9 +44,15 @@
     } else {
         PROBE_TIMEOUT * 2
     };
-    let mut store_away = shared.store_unavailable.subscribe();
+    let mut store_unavailable = shared.store_unavailable.subscribe();
     // The sender lives as long as the process, and a timeout is an expected outcome.
-    drop(tokio::time::timeout(timeout, store_away.wait_for(|is_away| !is_away)).await);
+    drop(
+        tokio::time::timeout(
+            timeout,
+            store_unavailable.wait_for(|is_unavailable| !is_unavailable),
+        )
+        .await,
+    );
 }
 
 /// Exponential backoff between failing calls to the store.
--- a/crates/ploverwick_gateway/src/controllers/bootstrap.rs
+++ b/crates/ploverwick_gateway/src/controllers/bootstrap.rs
@@ -6,8 +6,8 @@
 use anyhow::Result;
 use tokio::time::Instant;
 
-use crate::handover::{self, SnapshotRequest, SnapshotResponse};
 use crate::shared::Shared;
+use crate::snapshots::{self, SnapshotRequest, SnapshotResponse};
 use crate::state::{InstanceListState, own_candidate};
 use crate::topics::Topic;
 
@@ -16,7 +16,7 @@
 const LIST_TIMEOUT: Duration = Duration::from_millis(400);
 /// The same when the whole system starts for the first time, when the list is read about 400 ms later.
 const FIRST_START_LIST_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The timeout of a question to a peer. An answer takes a few milliseconds, or some tens if the processor is
+/// The timeout of a request to a peer. An answer takes a few milliseconds, or some tens if the processor is
 /// busy. A configuration of a thousand routes takes up to 200 ms longer on a link of 20 Mbit/s.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long an instance retries in total while its peers are starting, too. If all instances read from the
@@ -35,8 +35,8 @@
 /// Asks peers. Returns `None` if this instance should read the store itself: it is among the highest-ranked
 /// instances, which the others ask, or those cannot be reached. If the store is unavailable, instances of any
 /// rank ask their peers.
-pub(super) async fn fetch(shared: &Shared, wanted: SnapshotRequest) -> Option<SnapshotResponse> {
-    if wanted == SnapshotRequest::Topic(Topic::Instances) {
+pub(super) async fn fetch(shared: &Shared, request: SnapshotRequest) -> Option<SnapshotResponse> {
+    if request == SnapshotRequest::Topic(Topic::Instances) {
         // Without the list, no peers are known.
         return None;
     }
@@ -50,11 +50,11 @@
     while !peers.is_empty() && Instant::now() < deadline {
         let mut is_starting = false;
         for peer in &peers {
-            match ask_peer(shared, *peer, wanted).await {
+            match ask_peer(shared, *peer, request).await {
                 Ok(SnapshotResponse::NotReady) => is_starting = true,
-                Ok(given) => {
-                    spdlog::info!("start_told what={:?} by={}", wanted, peer);
-                    return Some(given);
+                Ok(response) => {
+                    spdlog::info!("start_told what={:?} by={}", request, peer);
+                    return Some(response);
                 }
                 Err(error) => {
                     is_starting |= is_connection_refused(&error);
@@ -73,9 +73,9 @@
 async fn ask_peer(
     shared: &Shared,
     peer: IpAddr,
-    wanted: SnapshotRequest,
+    request: SnapshotRequest,
 ) -> Result<SnapshotResponse> {
-    let answer = handover::fetch(peer, shared.settings.peer_port, wanted);
+    let answer = snapshots::fetch(peer, shared.settings.peer_port, request);
     tokio::time::timeout(ANSWER_TIMEOUT, answer).await?
 }
 
@@ -96,11 +96,11 @@
         LIST_TIMEOUT
     };
     let deadline = Instant::now() + timeout;
-    // Peers that know an earlier incarnation of this instance make themselves known in the meantime.
+    // Peers that know an earlier process of this instance send their status to it in the meantime.
     while shared.state().instance_list == InstanceListState::Unread && Instant::now() < deadline {
         tokio::time::sleep(LIST_POLL_INTERVAL).await;
     }
-    let is_away = *shared.store_unavailable.borrow();
+    let is_unavailable = *shared.store_unavailable.borrow();
     let state = shared.state();
     let candidates = state.peers.iter();
     let candidates = candidates.filter(|(_, peer)| peer.domain == settings.domain);
@@ -112,7 +112,7 @@
     let own = own_candidate(settings);
     let is_first =
         candidates.len() < MAX_PEERS || candidates.iter().any(|(peer, _)| own.precedes(*peer));
-    if is_first && !is_away {
+    if is_first && !is_unavailable {
         return Vec::new();
     }
     candidates.into_iter().map(|(_, ip)| ip).collect()
--- a/crates/ploverwick_gateway/src/controllers/draining.rs
+++ b/crates/ploverwick_gateway/src/controllers/draining.rs
@@ -28,7 +28,7 @@
     if state.fleet.entry(endpoint).is_none() {
         return;
     }
-    state.departures.record(endpoint, now);
+    state.draining_reports.record(endpoint, now);
     drop(state);
     if drain(shared, endpoint, source) {
         broadcast::send_draining(shared, vec![Arc::clone(endpoint)]);
--- a/crates/ploverwick_gateway/src/controllers/roster.rs
+++ b/crates/ploverwick_gateway/src/controllers/endpoint_list.rs
@@ -6,26 +6,26 @@
 
 use ploverwick_endpoints::{Absences, Entry, Heartbeat, Heartbeats, State as EndpointState};
 use ploverwick_platform::store::{Error, Record};
-use ploverwick_platform::{ROSTER_TOPIC, roster};
+use ploverwick_platform::{ENDPOINT_TOPIC, endpoint_list};
 use ploverwick_topics::Position;
 
 use super::feed::{self, Feed, Update};
 use super::{bootstrap, wait_for_store};
 use crate::broadcast;
-use crate::handover::{SnapshotRequest, SnapshotResponse};
 use crate::logging::Outage;
 use crate::shared::Shared;
+use crate::snapshots::{SnapshotRequest, SnapshotResponse};
 use crate::state::State;
 /// The interval between reads. Each heartbeat of an endpoint is a record, so that a long poll would return at
 /// once. A departure must be noticed well within the drain time.
 const READ_INTERVAL: Duration = Duration::from_millis(850);
 
-/// The number of records to read before the snapshot, for each endpoint in it. They tell a heartbeat that
-/// arrives after its endpoint has left from a new one. Each endpoint writes one record about every 1.2 s.
+/// The number of records to read before the snapshot, for each endpoint in it. They distinguish a
+/// heartbeat that arrives after its endpoint has left from a new one. Each endpoint writes one record about every 1.2 s.
 const HISTORY_PER_ENDPOINT: u64 = 4;
 
 #[derive(Debug)]
-struct Follower {
+struct Subscriber {
     shared: Arc<Shared>,
     absences: Absences,
     /// The entries that were last sent to the peers of this failure domain.
@@ -36,7 +36,7 @@
 }
 
 /// How often an instance whose peer reads the list rechecks whether it still does, and the delay before a
-/// failed request to peers is repeated.
+/// failed request to peers is retried.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a list that a peer confirmed counts as current. Together with the read interval and the recheck
 /// interval, a departure is noticed within the drain time even if that peer goes silent.
@@ -59,20 +59,20 @@
     let validity =
         PEER_LIST_VALIDITY + READ_DELAY_PER_RANK * u32::try_from(rank).unwrap_or_default();
     state
-        .roster_confirmed_at
+        .endpoint_list_confirmed_at
         .is_some_and(|at| now.since(at) < validity)
 }
 
 /// Follows the list for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
-    let mut follower = Follower {
+    let mut subscriber = Subscriber {
         shared: Arc::clone(&shared),
         absences: Absences::default(),
         sent: HashMap::new(),
         heartbeats: Heartbeats::default(),
     };
     let feed = Feed {
-        topic: ROSTER_TOPIC,
+        topic: ENDPOINT_TOPIC,
         description: "endpoint list",
         wait: Duration::ZERO,
         delay: READ_INTERVAL,
@@ -89,7 +89,7 @@
             tokio::time::sleep(RECHECK_INTERVAL).await;
             continue;
         }
-        let mut handler = |update: Update<'_>| follower.handle_update(update);
+        let mut handler = |update: Update<'_>| subscriber.handle_update(update);
         match feed::read(&shared, &feed, next, feed.wait, &mut handler).await {
             Ok(end) => {
                 next = Some(end);
@@ -108,14 +108,14 @@
                     shared.store.era()
                 );
                 // The restored list may lack endpoints that are still running; they write their entries again.
-                follower.absences.record_store_failure();
+                subscriber.absences.record_store_failure();
                 next = None;
             }
             Err(error) => {
                 outage.record_failure(&error);
-                follower.absences.record_store_failure();
+                subscriber.absences.record_store_failure();
                 shared.store_unavailable.send_replace(true);
-                if shared.state().has_roster {
+                if shared.state().has_endpoint_list {
                     wait_for_store(&shared).await;
                 } else {
                     ask_peers(&shared).await;
@@ -125,7 +125,7 @@
     }
 }
 
-impl Follower {
+impl Subscriber {
     fn handle_update(&mut self, update: Update<'_>) {
         let now = self.shared.now();
         match update {
@@ -155,7 +155,7 @@
                 continue;
             };
             // Malformed entries are logged when the list itself is applied.
-            if let Ok(entry) = roster::decode_entry(&record.key, value) {
+            if let Ok(entry) = endpoint_list::decode_entry(&record.key, value) {
                 let platform_id = Arc::from(&*record.key);
                 self.heartbeats
                     .record(&platform_id, heartbeat(&entry), true);
@@ -168,15 +168,16 @@
         let listed: HashSet<&str> = records.iter().map(|record| &*record.key).collect();
         let state = self.shared.state();
         let known = state.fleet.entries().map(|entry| Arc::clone(&entry.id));
-        let absent = known.filter(|id| !listed.contains(roster::platform_id(id)));
+        let absent = known.filter(|id| !listed.contains(endpoint_list::platform_id(id)));
         let absent: Vec<Arc<str>> = absent.collect();
         drop(state);
         for id in absent {
-            self.heartbeats.record_departure(roster::platform_id(&id));
+            self.heartbeats
+                .record_departure(endpoint_list::platform_id(&id));
             self.handle_missing(&id);
         }
         spdlog::info!("endpoints_read count={}", listed.len());
-        self.shared.state().has_roster = true;
+        self.shared.state().has_endpoint_list = true;
     }
 
     fn apply_records(&mut self, records: &[Record]) {
@@ -191,7 +192,7 @@
     }
 
     fn apply_entry(&mut self, platform_id: &str, value: &[u8]) {
-        let entry = match roster::decode_entry(platform_id, value) {
+        let entry = match endpoint_list::decode_entry(platform_id, value) {
             Ok(entry) => entry,
             Err(error) => return self.log_malformed(platform_id, &error),
         };
@@ -212,15 +213,15 @@
             }
         }
         let now = self.shared.now();
-        let copies = roster::copies(&entry.held);
+        let copies = endpoint_list::copies(&entry.held);
         let mut state = self.shared.state();
-        state.directory.apply_listing(&entry.id, copies, now);
+        state.directory.apply_list_entry(&entry.id, copies, now);
         drop(state);
         put(&self.shared, entry);
     }
 
     /// Logs a malformed entry of another writer. The other entries remain valid.
-    fn log_malformed(&self, platform_id: &str, error: &roster::Error) {
+    fn log_malformed(&self, platform_id: &str, error: &endpoint_list::Error) {
         if self.shared.log_limiter.allow(self.shared.now()) {
             spdlog::warn!(
                 "endpoint_malformed endpoint={} cause=\"{}\"",
@@ -249,10 +250,10 @@
             .values()
             .filter(|e| self.sent.get(&e.id) != Some(*e));
         let changed: Vec<Entry> = changed.cloned().collect();
-        let gone = self.sent.keys().filter(|id| !entries.contains_key(*id));
-        let gone: Vec<Arc<str>> = gone.cloned().collect();
+        let removed = self.sent.keys().filter(|id| !entries.contains_key(*id));
+        let removed: Vec<Arc<str>> = removed.cloned().collect();
         self.sent = entries;
-        broadcast::send_list_changes(&self.shared, changed, gone, digest);
+        broadcast::send_endpoint_list_update(&self.shared, changed, removed, digest);
     }
 
     /// Handles an endpoint that is not on the list: it has left, or the store lost its entry in an outage.
@@ -273,23 +274,23 @@
 
 /// Handles list changes from the reader of this failure domain. They count as current only if the digests of
 /// the lists match.
-pub(crate) fn handle_list_changes(
+pub(crate) fn handle_peer_update(
     shared: &Shared,
     changed: Vec<Entry>,
-    gone: &[Arc<str>],
+    removed: &[Arc<str>],
     digest: u64,
 ) {
     for entry in changed {
         put(shared, entry);
     }
-    for id in gone {
+    for id in removed {
         remove(shared, id);
     }
     let now = shared.now();
     let mut state = shared.state();
     // If the list was never read or a message was lost, this instance reads the list itself.
-    if state.has_roster && state.fleet.digest() == digest {
-        state.roster_confirmed_at = Some(now);
+    if state.has_endpoint_list && state.fleet.digest() == digest {
+        state.endpoint_list_confirmed_at = Some(now);
     }
     drop(state);
     shared.orders_changed.notify_waiters();
@@ -309,16 +310,16 @@
 fn apply_peer_list(shared: &Shared, entries: Vec<Entry>) {
     let now = shared.now();
     for entry in entries {
-        let copies = roster::copies(&entry.held);
+        let copies = endpoint_list::copies(&entry.held);
         shared
             .state()
             .directory
-            .apply_listing(&entry.id, copies, now);
+            .apply_list_entry(&entry.id, copies, now);
         put(shared, entry);
     }
     let mut state = shared.state();
-    state.has_roster = true;
-    state.roster_confirmed_at = Some(now);
+    state.has_endpoint_list = true;
+    state.endpoint_list_confirmed_at = Some(now);
     drop(state);
     shared.orders_changed.notify_waiters();
     shared.placement_changed.notify_waiters();
@@ -358,7 +359,7 @@
     state.fleet.put(entry);
     let entry = state.fleet.entry(&id).expect("the entry was just added");
     // A snapshot is logged as a count only, because one line per entry would slow down the start.
-    if before != Some(entry.state) && state.has_roster {
+    if before != Some(entry.state) && state.has_endpoint_list {
         spdlog::info!(
             "endpoint_listed endpoint={} service={} address={} domain={} state={:?}",
             entry.id,
@@ -376,7 +377,10 @@
 /// Returns whether a later incarnation of the endpoint is known, because a delayed message of a peer may be
 /// about an earlier one.
 fn is_superseded(state: &State, entry: &Entry) -> bool {
-    let incarnations = state.incarnations.of(roster::platform_id(&entry.id)).iter();
+    let incarnations = state
+        .incarnations
+        .of(endpoint_list::platform_id(&entry.id))
+        .iter();
     let mut incarnations = incarnations.filter_map(|id| state.fleet.entry(id));
     incarnations.any(|other| other.born > entry.born)
 }
@@ -388,7 +392,7 @@
     }
     state.limits.remove(id);
     state.pauses.remove(id);
-    state.departures.remove(id);
+    state.draining_reports.remove(id);
     state.incarnations.remove(id);
     state.directory.remove(id);
     state.placer.remove(id);
--- a/crates/ploverwick_gateway/src/controllers/freshness.rs
+++ b/crates/ploverwick_gateway/src/controllers/freshness.rs
@@ -83,12 +83,12 @@
 /// asked.
 fn readers(shared: &Shared, state: &State, of_all_domains: bool, now: Moment) -> Vec<IpAddr> {
     let peers = state.peers.iter().filter(|(_, peer)| {
-        let is_heard = peer
+        let is_alive = peer
             .last_seen
             .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
         let reads = peer.read_states.of(Topic::Operator).reading == Reading::Reads;
         let is_local = peer.domain == shared.settings.domain;
-        is_heard && reads && (is_local || of_all_domains)
+        is_alive && reads && (is_local || of_all_domains)
     });
     let mut peers: Vec<_> = peers
         .map(|(name, peer)| (peer.candidate(name), peer.ip))
@@ -130,7 +130,7 @@
 }
 
 /// Answers a peer's request for a proof.
-pub(crate) fn handle_question(shared: &Shared, to: IpAddr, query_id: QueryId) {
+pub(crate) fn handle_proof_request(shared: &Shared, to: IpAddr, query_id: QueryId) {
     let now = shared.now();
     let Some(proof) = shared.state().freshness.proof() else {
         return;
@@ -144,8 +144,8 @@
     shared.peer_socket.send(&answer, &[to]);
 }
 
-/// Handles a peer's proof. The peer computed the age after it was asked, so the proof is no older than that
-/// age counted from the question.
+/// Handles a peer's proof. The peer computed the age after it received the request, so the proof is no older
+/// than that age counted from when the request was sent.
 pub(crate) fn handle_proof(shared: &Shared, query_id: QueryId, end: Position, age: Duration) {
     if !shared.is_own_query(query_id) {
         return;
--- a/crates/ploverwick_gateway/src/controllers/instances.rs
+++ b/crates/ploverwick_gateway/src/controllers/instances.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Loads the fencing token that an earlier incarnation of this instance stored, before it is overwritten.
+/// Loads the fencing token that an earlier process of this instance stored, before it is overwritten.
 /// Retries until the store answers, because the lease cannot be acquired without the store either.
 pub(crate) async fn load_previous_token(shared: &Shared) -> Option<u64> {
     let mut backoff = Backoff::new();
@@ -80,7 +80,7 @@
     };
     let mut records = snapshot.records.iter();
     let Some(own) = records.find(|record| record.key == *shared.settings.instance) else {
-        // An earlier incarnation that shut down cleanly removed its registration one lease duration after its
+        // An earlier process that shut down cleanly removed its registration one lease duration after its
         // last order.
         shared.state().placer_lease.confirm_no_recent_orders();
         return None;
@@ -128,16 +128,16 @@
 }
 
 /// Replaces the listed peers. After a restore of the store, the list may lack running instances until they
-/// register again, so peers that were heard recently are kept.
+/// register again, so peers that sent a message recently are kept.
 fn apply_snapshot(shared: &Arc<Shared>, records: &[Record], was_restored: bool) {
     let listed: HashSet<&str> = records.iter().map(|record| &*record.key).collect();
     let now = shared.now();
     let mut state = shared.state();
     state.peers.retain(|name, peer| {
-        let is_heard = peer
+        let is_alive = peer
             .last_seen
             .is_some_and(|at| now.since(at) <= PEER_TIMEOUT);
-        listed.contains(&**name) || (was_restored && is_heard)
+        listed.contains(&**name) || (was_restored && is_alive)
     });
     let is_unlisted = state.instance_list == InstanceListState::Listed
         && !listed.contains(&*shared.settings.instance);
@@ -191,7 +191,7 @@
     format!("{PLACER_KEY_PREFIX}{domain}")
 }
 
-/// Records this instance as the placer of its failure domain, for its own next incarnation. The platform
+/// Records this instance as the placer of its failure domain, for its own next process. The platform
 /// keeps the lease for its last holder, and no other instance can acquire it before it expires.
 pub(crate) async fn record_placer(shared: Arc<Shared>) {
     let settings = &shared.settings;
@@ -203,7 +203,7 @@
 }
 
 /// Registers this instance again after its registration was removed, for example by a delayed call of an
-/// earlier incarnation, or was lost in a restore of the store.
+/// earlier process, or was lost in a restore of the store.
 fn reregister(shared: &Arc<Shared>) {
     if shared.is_stopping() {
         return;
--- a/crates/ploverwick_gateway/src/controllers/limits.rs
+++ b/crates/ploverwick_gateway/src/controllers/limits.rs
@@ -1,6 +1,6 @@
 //! Tracks the rate limits that overloaded endpoints set in their answers.
 //!
-//! An answer reaches one instance but applies to all, so that changes are broadcast at once. A repeated
+//! An answer reaches one instance but applies to all, so that changes are broadcast at once. A periodic
 //! broadcast every other second makes up for lost messages and informs instances that have just started.
 
 use std::net::IpAddr;
@@ -86,7 +86,7 @@
     metrics::endpoint_limits(state.limits.active_count());
 }
 
-/// Assigns this instance its share of each limit, based on the instances that it currently hears.
+/// Assigns this instance its share of each limit, based on the instances that are currently alive.
 pub(crate) fn assign_shares(shared: &Shared, state: &mut State, now: Moment) {
     let fleet = &state.fleet;
     let is_listed = |endpoint: &str| fleet.entry(endpoint).is_some();
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/load_requests.rs
@@ -1,4 +1,4 @@
-//! Handles requests for adapters, and places the adapters if this instance is the placer.
+//! Handles requests to load adapters, and places the adapters if this instance is the placer.
 
 use std::sync::Arc;
 
@@ -8,25 +8,25 @@
 use crate::broadcast;
 use crate::shared::Shared;
 
-/// Requests an adapter at the endpoints of a failure domain. Returns whether the domain has a placer to ask.
-pub(crate) fn request_adapter(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
+/// Requests the load of an adapter in a failure domain. Returns whether the domain has a placer to ask.
+pub(crate) fn request_load(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
     let now = shared.now();
     let state = shared.state();
     let is_own = *domain == *shared.settings.domain && state.placer_lease.is_held(now);
     let placer = state.placer_of(domain, now);
     drop(state);
     if is_own {
-        handle_request(shared, copy, need);
+        handle_load_request(shared, copy, need);
         return true;
     }
     if let Some(ip) = placer {
-        broadcast::send_need(shared, ip, copy, need);
+        broadcast::send_load_request(shared, ip, copy, need);
     }
     placer.is_some()
 }
 
 /// Places an adapter that is needed, if this instance is the placer.
-pub(crate) fn handle_request(shared: &Arc<Shared>, copy: &Copy, need: Need) {
+pub(crate) fn handle_load_request(shared: &Arc<Shared>, copy: &Copy, need: Need) {
     let now = shared.now();
     let mut state = shared.state();
     if !state.placer_lease.is_held(now) {
@@ -90,6 +90,6 @@
     drop(endpoints);
     drop(state);
     if is_held_here {
-        handle_request(shared, copy, Need::Any);
+        handle_load_request(shared, copy, Need::Any);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/operator.rs
+++ b/crates/ploverwick_gateway/src/controllers/operator.rs
@@ -162,6 +162,6 @@
     );
     // Load an adapter that is in use before the next request asks for it.
     if held_older.is_some() {
-        super::demand::handle_new_version(shared, &copy);
+        super::load_requests::handle_new_version(shared, &copy);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/orders.rs
+++ b/crates/ploverwick_gateway/src/controllers/orders.rs
@@ -13,7 +13,7 @@
 use ploverwick_adapters::{Answer, Event, LoadLimit, Order, Report, Step};
 use ploverwick_endpoints::{Entry, State as EndpointState};
 use ploverwick_names::Moment;
-use ploverwick_platform::{answer, order, roster};
+use ploverwick_platform::{answer, endpoint_list, order};
 
 use super::draining;
 use crate::broadcast;
@@ -22,7 +22,7 @@
 use crate::shared::Shared;
 use crate::state::State;
 /// The initial timeout of an order; endpoints of the same failure domain answer within about 3 ms. An
-/// unanswered order can safely be repeated, so the timeout may be short.
+/// unanswered order can safely be retried, so the timeout may be short.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(25);
 /// The number of consecutive unanswered orders after which the timeout doubles, because the endpoint is slow.
 const UNANSWERED_PER_DOUBLING: u32 = 4;
@@ -263,7 +263,7 @@
 /// Parses the report of an endpoint; returns `None` if another incarnation of it answered, which the list of
 /// endpoints will show.
 fn parse_report(entry: &Entry, body: &[u8]) -> Option<Report> {
-    let received = roster::decode_report(body)
+    let received = endpoint_list::decode_report(body)
         .map_err(|error| {
             spdlog::warn!("report_malformed endpoint={} cause=\"{}\"", entry.id, error);
         })
@@ -309,7 +309,7 @@
             spdlog::info!("base_loaded endpoint={} model={}", endpoint, model);
         }
     }
-    let (coming, window) = state.placer.loads_in_flight();
+    let (in_flight, window) = state.placer.loads_in_flight();
     drop(state);
     let log_event = match event {
         Event::Loading(copy) => Some(("adapter_ordered", copy)),
@@ -324,7 +324,7 @@
             copy.key,
             copy.version,
             endpoint,
-            coming,
+            in_flight,
             window
         );
     }
--- a/crates/ploverwick_gateway/src/controllers/placer_lease.rs
+++ b/crates/ploverwick_gateway/src/controllers/placer_lease.rs
@@ -16,8 +16,8 @@
 /// How often an instance outside the group rechecks whether it should join as a standby.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// The time since the start of the process until which the rank of an instance follows from the list of
-/// instances and not from the peers that it has heard. If all instances start at once, each would otherwise
-/// become a standby until it has heard the others.
+/// instances and not from the peers whose messages it has received. If all instances start at once, each would
+/// otherwise become a standby until it has received messages from the others.
 const DISCOVERY_END: Moment = Moment(1_000);
 /// How long a failure domain may have no placer before all of its instances join the group. The standbys may
 /// be cut off from the store.
@@ -56,7 +56,7 @@
         if std::mem::replace(&mut era, shared.store.era()) != shared.store.era() {
             generation = 0;
         }
-        let asked_at = shared.now();
+        let requested_at = shared.now();
         match shared.store.join(&group, &member, ttl, generation).await {
             Ok(membership) => {
                 outage.record_success();
@@ -67,7 +67,7 @@
                 } else {
                     Grant::Elsewhere
                 };
-                apply_grant(&shared, grant, asked_at);
+                apply_grant(&shared, grant, requested_at);
                 let token = membership.is_leader.then_some(membership.token);
                 if token.is_some() && token != stored_token {
                     stored_token = token;
@@ -115,11 +115,11 @@
     state.rank(&shared.settings, now) < MAX_STANDBYS
 }
 
-fn apply_grant(shared: &Shared, grant: Grant, asked_at: Moment) {
+fn apply_grant(shared: &Shared, grant: Grant, requested_at: Moment) {
     let now = shared.now();
     let mut state = shared.state();
     let was_held = state.placer_lease.is_held(now);
-    state.placer_lease.handle_grant(grant, asked_at, now);
+    state.placer_lease.handle_grant(grant, requested_at, now);
     let is_held = state.placer_lease.is_held(now);
     if was_held == is_held {
         return;
@@ -141,7 +141,7 @@
 async fn leave(shared: &Shared, group: &str) {
     release(shared);
     match shared.store.leave(group, &shared.settings.instance).await {
-        Ok(()) => broadcast::send_vacant(shared),
+        Ok(()) => broadcast::send_lease_released(shared),
         Err(error) => spdlog::warn!("group_not_left cause=\"{}\"", error),
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/quarantine.rs
+++ b/crates/ploverwick_gateway/src/controllers/quarantine.rs
@@ -105,11 +105,11 @@
 /// Removes expired entries.
 pub(crate) fn remove_expired(shared: &Shared) {
     let now = shared.now();
-    let lapsed = shared.state().quarantine.remove_expired(now);
-    for fingerprint in &lapsed {
+    let expired = shared.state().quarantine.remove_expired(now);
+    for fingerprint in &expired {
         spdlog::info!("quarantine_lapsed fingerprint={}", fingerprint);
     }
-    if !lapsed.is_empty() {
+    if !expired.is_empty() {
         update_metric(shared);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/quotas.rs
+++ b/crates/ploverwick_gateway/src/controllers/quotas.rs
@@ -1,4 +1,4 @@
-//! Exchanges quotas with pools: lends this instance's shares to a pool, requests what its own requests need,
+//! Exchanges quotas with pools: leases this instance's shares to a pool, requests what its own requests need,
 //! and serves as a pool for others.
 
 use std::net::IpAddr;
--- a/crates/ploverwick_gateway/src/controllers/table.rs
+++ b/crates/ploverwick_gateway/src/controllers/table.rs
@@ -20,7 +20,7 @@
 
 /// Follows the table's topic for as long as the process runs.
 pub(crate) async fn follow(shared: Arc<Shared>) {
-    let mut follower = Follower::new(Arc::clone(&shared));
+    let mut subscriber = Subscriber::new(Arc::clone(&shared));
     let feed = Feed {
         topic: TABLE_TOPIC,
         description: "table topic",
@@ -31,11 +31,11 @@
     };
     topic::follow(&shared, Topic::Table, feed, |update| match update {
         Update::Snapshot { records } | Update::PeerSnapshot { records } => {
-            follower.apply_snapshot(records);
+            subscriber.apply_snapshot(records);
         }
         Update::Records { records, .. } | Update::PeerRecords { records, .. } => {
-            if let Some((text, offset)) = follower.apply_records(records) {
-                follower.put_in_force(text, offset);
+            if let Some((text, offset)) = subscriber.apply_records(records) {
+                subscriber.put_in_force(text, offset);
             }
         }
         Update::ReadStarted | Update::ReadFailed | Update::History { .. } => {}
@@ -44,7 +44,7 @@
 }
 
 /// Keeps the table in force up to date with the topic, including across restores of the store.
-struct Follower {
+struct Subscriber {
     shared: Arc<Shared>,
     assembler: Assembler,
     /// The store's era when the last snapshot was applied.
@@ -55,7 +55,7 @@
     superseded: HashSet<u64>,
 }
 
-impl Follower {
+impl Subscriber {
     fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
--- a/crates/ploverwick_gateway/src/controllers/topic.rs
+++ b/crates/ploverwick_gateway/src/controllers/topic.rs
@@ -1,4 +1,4 @@
-//! Subscribes to a topic of the store: reads it and forwards the records to peers, or receives the records
+//! Subscribes to a topic of the store: reads it and relays the records to peers, or receives the records
 //! from them.
 
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use super::feed::{self, Update};
 use super::{Backoff, bootstrap, wait_for_store};
 use crate::broadcast;
-use crate::handover::{SnapshotRequest, SnapshotResponse};
 use crate::logging::Outage;
 use crate::metrics;
 use crate::shared::Shared;
+use crate::snapshots::{SnapshotRequest, SnapshotResponse};
 use crate::topics::{Batch, ReadState, RelayedRecord, Topic, TopicSnapshot};
 
 /// The topic that retries reads while the store is unavailable; the others wait until it succeeds.
@@ -28,7 +28,7 @@
     Read,
 }
 
-struct Follower<'a, F> {
+struct Subscriber<'a, F> {
     shared: &'a Shared,
     topic: Topic,
     feed: feed::Feed<'a>,
@@ -50,7 +50,7 @@
 ) {
     let mut outage = Outage::new(feed.description);
     let mut backoff = Backoff::new();
-    let mut follower = Follower {
+    let mut subscriber = Subscriber {
         shared,
         topic,
         feed,
@@ -60,7 +60,7 @@
         handler,
     };
     loop {
-        match follower.step().await {
+        match subscriber.step().await {
             Ok(Outcome::Idle) => {}
             Ok(Outcome::Read) => {
                 outage.record_success();
@@ -69,7 +69,7 @@
             }
             Err(Error::Expired) => {
                 spdlog::info!("history_lost topic={}", feed.topic);
-                follower.subscription.reset();
+                subscriber.subscription.reset();
             }
             Err(Error::Restored) => {
                 spdlog::info!(
@@ -77,11 +77,11 @@
                     feed.topic,
                     shared.store.era()
                 );
-                follower.subscription.reset();
+                subscriber.subscription.reset();
             }
             Err(error) => {
                 outage.record_failure(&error);
-                follower.handle_failure();
+                subscriber.handle_failure();
                 shared.store_unavailable.send_replace(true);
                 if topic == PROBE_TOPIC {
                     backoff.pause(shared).await;
@@ -98,7 +98,7 @@
     xxh3_64(instance.as_bytes()) as f64 / u64::MAX as f64
 }
 
-impl<F: FnMut(Update<'_>)> Follower<'_, F> {
+impl<F: FnMut(Update<'_>)> Subscriber<'_, F> {
     /// Performs the next step of the subscription.
     async fn step(&mut self) -> Result<Outcome, Error> {
         let now = self.shared.now();
@@ -120,9 +120,9 @@
             }
             Step::ReadAll if self.should_ask_peers => {
                 self.should_ask_peers = false;
-                let wanted = SnapshotRequest::Topic(self.topic);
+                let request = SnapshotRequest::Topic(self.topic);
                 if let Some(SnapshotResponse::Topic(snapshot)) =
-                    bootstrap::fetch(self.shared, wanted).await
+                    bootstrap::fetch(self.shared, request).await
                 {
                     self.apply_snapshot(snapshot);
                 }
@@ -251,10 +251,10 @@
     /// Updates the position and reading state that this instance reports in its status messages.
     fn publish_reading(&self, reading: Reading) {
         let end = self.subscription.next().unwrap_or_default();
-        let stand = ReadState { end, reading };
+        let read_state = ReadState { end, reading };
         let mut state = self.shared.state();
         let before = state.read_states.of(self.topic);
-        state.read_states.set(self.topic, stand);
+        state.read_states.set(self.topic, read_state);
         if self.topic == Topic::Operator {
             state.freshness.advance(end);
         }
@@ -269,16 +269,16 @@
             );
         }
         if before.reading != reading || before.end != end {
-            metrics::topic(self.topic, stand, self.shared.now());
+            metrics::topic(self.topic, read_state, self.shared.now());
         }
     }
 }
 
-fn record(told: RelayedRecord) -> Record {
+fn record(relayed: RelayedRecord) -> Record {
     Record {
-        key: told.key,
-        value: told.value.map(Into::into),
-        offset: told.offset,
+        key: relayed.key,
+        value: relayed.value.map(Into::into),
+        offset: relayed.offset,
     }
 }
 
--- a/crates/ploverwick_gateway/src/daemon.rs
+++ b/crates/ploverwick_gateway/src/daemon.rs
@@ -11,12 +11,12 @@
 use tokio::task::JoinSet;
 
 use crate::controllers::{
-    freshness, instances, operator, orders, placer_lease, quarantine, quotas, roster, table,
+    endpoint_list, freshness, instances, operator, orders, placer_lease, quarantine, quotas, table,
 };
 use crate::front::{self, OpenConnections};
 use crate::messages::PeerSocket;
 use crate::shared::Shared;
-use crate::{broadcast, handover, listen, ready};
+use crate::{broadcast, listen, ready, snapshots};
 
 /// The margin between the end of the process and the time at which the platform kills it.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
@@ -34,8 +34,8 @@
     shared: Arc<Shared>,
     front: TcpListener,
     ready: TcpListener,
-    /// Where peers that start request snapshots.
-    handover: Option<TcpListener>,
+    /// The listener for snapshot requests of peers that start.
+    snapshots: Option<TcpListener>,
 }
 
 impl Daemon {
@@ -51,8 +51,9 @@
             .await
             .context("open the peer socket")?;
         // Without this socket, peers that start read from the store instead.
-        let handover = bind((settings.ip, settings.peer_port).into(), "handover").await;
-        let handover = handover.map_err(|error| spdlog::warn!("no_handover cause=\"{:#}\"", error));
+        let snapshots = bind((settings.ip, settings.peer_port).into(), "handover").await;
+        let snapshots =
+            snapshots.map_err(|error| spdlog::warn!("no_handover cause=\"{:#}\"", error));
         spdlog::info!(
             "start instance={} domain={} front={} first_start={}",
             settings.instance,
@@ -64,7 +65,7 @@
             shared: Arc::new(Shared::new(settings, peer_socket)),
             front,
             ready,
-            handover: handover.ok(),
+            snapshots: snapshots.ok(),
         })
     }
 
@@ -90,7 +91,7 @@
         let open = Arc::new(OpenConnections::default());
         let mut tasks = JoinSet::new();
         tasks.spawn(operator::follow(Arc::clone(&shared)));
-        tasks.spawn(roster::follow(Arc::clone(&shared)));
+        tasks.spawn(endpoint_list::follow(Arc::clone(&shared)));
         tasks.spawn(instances::follow(Arc::clone(&shared)));
         tasks.spawn(table::follow(Arc::clone(&shared)));
         tasks.spawn(quarantine::follow(Arc::clone(&shared)));
@@ -102,8 +103,8 @@
         tasks.spawn(broadcast::run_outbox(Arc::clone(&shared)));
         tasks.spawn(broadcast::quarantine::run(Arc::clone(&shared)));
         tasks.spawn(listen::run(Arc::clone(&shared)));
-        if let Some(handover) = self.handover {
-            tasks.spawn(handover::serve(Arc::clone(&shared), handover));
+        if let Some(snapshots) = self.snapshots {
+            tasks.spawn(snapshots::serve(Arc::clone(&shared), snapshots));
         }
         tasks.spawn(ready::serve(Arc::clone(&shared), self.ready));
         tasks.spawn(sweep(Arc::clone(&shared)));
@@ -141,17 +142,17 @@
 
 /// Shuts down: accepts new requests until the platform has noticed, then waits for requests in progress.
 async fn shut_down(shared: &Arc<Shared>, open: &OpenConnections) {
-    let stop_asked_at = shared.now();
+    let stop_requested_at = shared.now();
     spdlog::info!("stop_asked open={}", open.count());
     shared.stopping.send_replace(true);
     // The next process of this instance may send orders immediately, so a full lease must have passed since
     // the last order of this one.
-    let min_duration = MIN_STOP_DURATION.max(shared.settings.lease);
+    let min_duration = MIN_STOP_DURATION.max(shared.settings.reacquire_delay);
     let max_duration = shared.settings.grace.saturating_sub(KILL_MARGIN);
     let mut is_listed = true;
     loop {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
-        let elapsed = shared.now().since(stop_asked_at);
+        let elapsed = shared.now().since(stop_requested_at);
         if is_listed && elapsed >= min_duration {
             instances::deregister(shared).await;
             is_listed = false;
--- a/crates/ploverwick_gateway/src/filters.rs
+++ b/crates/ploverwick_gateway/src/filters.rs
@@ -2,16 +2,16 @@
 //!
 //! `admit` reads the request and finds its route, `authenticate` identifies the caller, `terms` applies the
 //! operators' table, `quota` charges the organisation's quota, `select` chooses an endpoint, `send` sends the
-//! request to it, `relay` forwards the answer, and `retry` repeats the last three steps where that is safe.
+//! request to it, `forward` forwards the answer, and `retry` retries the last three steps where that is safe.
 
 mod admit;
 mod admitted_request;
 mod authenticate;
+mod forward;
 mod in_flight;
 mod missing_adapter;
 mod quarantine;
 mod quota;
-mod relay;
 mod reply;
 mod retry;
 mod reuse;
@@ -50,6 +50,6 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    let guard = relay::ActivityGuard::new(activity, shared.clock.clone());
-    response.map(|body| relay::guarded(body, guard))
+    let guard = forward::ActivityGuard::new(activity, shared.clock.clone());
+    response.map(|body| forward::guarded(body, guard))
 }
--- a/crates/ploverwick_gateway/src/filters/relay.rs
+++ b/crates/ploverwick_gateway/src/filters/forward.rs
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// Fails with the cause if the answer is interrupted or late. Nothing has been sent to the client then.
-pub(crate) async fn forward_whole(
+pub(crate) async fn whole(
     shared: &Arc<Shared>,
     request: &AdmittedRequest,
     answered: Answered,
@@ -70,7 +70,7 @@
 }
 
 /// Forwards a stream of events as it arrives.
-pub(crate) fn forward_stream(
+pub(crate) fn event_stream(
     shared: &Arc<Shared>,
     request: &Arc<AdmittedRequest>,
     target: &Target,
@@ -84,7 +84,7 @@
         in_flight,
         connection,
     } = answered;
-    let relay = StreamRelay {
+    let forwarded = ForwardedStream {
         shared: Arc::clone(shared),
         request: Arc::clone(request),
         source: Some(Source {
@@ -93,13 +93,13 @@
             connection,
             head: head.clone(),
         }),
-        splitter: request.route.kind.may_repeat().then(EventSplitter::default),
+        splitter: request.route.kind.may_retry().then(EventSplitter::default),
         sent,
         tried: vec![Arc::clone(&target.entry.id)],
     };
-    let frames = stream::try_unfold(relay, |mut relay| async move {
-        let bytes = relay.next().await?;
-        Ok::<_, BrokenAnswer>(bytes.map(|bytes| (Frame::data(bytes), relay)))
+    let frames = stream::try_unfold(forwarded, |mut forwarded| async move {
+        let bytes = forwarded.next().await?;
+        Ok::<_, BrokenAnswer>(bytes.map(|bytes| (Frame::data(bytes), forwarded)))
     });
     build_response(&parts, &head, UnsyncBoxBody::new(StreamBody::new(frames)))
 }
@@ -131,7 +131,7 @@
 
 /// A stream that is forwarded to a client.
 #[derive(Debug)]
-struct StreamRelay {
+struct ForwardedStream {
     shared: Arc<Shared>,
     request: Arc<AdmittedRequest>,
     source: Option<Source>,
@@ -141,15 +141,15 @@
     tried: Vec<Arc<str>>,
 }
 
-impl StreamRelay {
+impl ForwardedStream {
     /// Returns the next bytes for the client; `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
         loop {
-            let limit = self.read_deadline();
+            let deadline = self.read_deadline();
             let Some(source) = &mut self.source else {
                 return Ok(None);
             };
-            let frame = tokio::time::timeout_at(limit, source.body.frame()).await;
+            let frame = tokio::time::timeout_at(deadline, source.body.frame()).await;
             match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
@@ -168,7 +168,9 @@
                     );
                     self.resume(&error.to_string()).await?;
                 }
-                Err(_) if limit < self.request.deadline => self.resume("the stream paused").await?,
+                Err(_) if deadline < self.request.deadline => {
+                    self.resume("the stream paused").await?
+                }
                 Err(_) => {
                     self.close_source(Outcome::Abandoned);
                     return Err(self.fail("the deadline passed"));
@@ -183,8 +185,8 @@
         let may_resume = self.splitter.is_some() && self.sent < self.request.route.max_attempts;
         match self.request.route.event_timeout {
             Some(event_timeout) if may_resume => {
-                let limit = Instant::now() + event_timeout.mul_f64(MAX_PAUSE_RATIO);
-                limit.min(self.request.deadline)
+                let deadline = Instant::now() + event_timeout.mul_f64(MAX_PAUSE_RATIO);
+                deadline.min(self.request.deadline)
             }
             Some(_) | None => self.request.deadline,
         }
@@ -240,7 +242,7 @@
             None => return Err(self.fail(cause)),
         };
         while self.sent < self.request.route.max_attempts
-            && quarantine::may_repeat(&self.shared, &self.request)
+            && quarantine::may_retry(&self.shared, &self.request)
             && self
                 .shared
                 .may_retry(&self.request.info.id, &self.request.service)
@@ -254,9 +256,9 @@
             }
             self.sent += 1;
             self.tried.push(Arc::clone(&target.entry.id));
-            let limit = target.start_deadline.unwrap_or(self.request.deadline);
-            let limit = limit.min(self.request.deadline);
-            let outcome = send::run(&self.shared, &self.request, &target, limit, after).await;
+            let deadline = target.start_deadline.unwrap_or(self.request.deadline);
+            let deadline = deadline.min(self.request.deadline);
+            let outcome = send::run(&self.shared, &self.request, &target, deadline, after).await;
             if let SendOutcome::Revoked(reply) = &outcome {
                 return Err(self.fail(reply.code.name()));
             }
--- a/crates/ploverwick_gateway/src/filters/in_flight.rs
+++ b/crates/ploverwick_gateway/src/filters/in_flight.rs
@@ -31,7 +31,7 @@
     ) -> Self {
         let now = shared.now();
         let mut state = shared.state();
-        let queued_tokens = state.fleet.load(endpoint, now).reading;
+        let queued_tokens = state.fleet.load(endpoint, now).unread_tokens;
         state.fleet.record_sent(endpoint, prompt);
         if state.limits.record_send(endpoint, now) {
             metrics::limited_send();
--- a/crates/ploverwick_gateway/src/filters/missing_adapter.rs
+++ b/crates/ploverwick_gateway/src/filters/missing_adapter.rs
@@ -5,7 +5,7 @@
 use ploverwick_adapters::{Copy, Domain, Need};
 
 use super::admitted_request::AdmittedRequest;
-use crate::controllers::demand;
+use crate::controllers::load_requests;
 use crate::shared::Shared;
 
 /// Requests the load of an adapter in the failure domain chosen for it.
@@ -20,7 +20,7 @@
     } else {
         Need::Another
     };
-    demand::request_adapter(shared, &domain, copy, need);
+    load_requests::request_load(shared, &domain, copy, need);
 }
 
 /// Chooses the failure domain that loads an adapter; `None` if it is being loaded already or no domain can load
--- a/crates/ploverwick_gateway/src/filters/quarantine.rs
+++ b/crates/ploverwick_gateway/src/filters/quarantine.rs
@@ -34,8 +34,8 @@
 }
 
 /// Returns whether the crashes recorded for a request permit sending it to another endpoint.
-pub(super) fn may_repeat(shared: &Shared, request: &AdmittedRequest) -> bool {
-    status(shared, request).may_repeat()
+pub(super) fn may_retry(shared: &Shared, request: &AdmittedRequest) -> bool {
+    status(shared, request).may_retry()
 }
 
 /// Clears the crashes recorded for a request after a complete, successful answer.
--- a/crates/ploverwick_gateway/src/filters/retry.rs
+++ b/crates/ploverwick_gateway/src/filters/retry.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 
 use super::admitted_request::AdmittedRequest;
+use super::forward;
 use super::quarantine;
-use super::relay;
 use super::reply::{Body, Reply};
 use super::select::{self, Target};
 use super::send::{self, Answered, SendOutcome};
@@ -51,7 +51,7 @@
     /// When the request was sent, relative to the start of the process.
     sent_at: Moment,
     /// The maximum time to wait for the answer.
-    limit: Duration,
+    timeout: Duration,
     /// The expected time until the answer starts.
     expected_wait: Duration,
 }
@@ -59,7 +59,7 @@
 impl std::fmt::Display for LastSend {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let version = self.version.unwrap_or_default();
-        let limit = self.limit.as_millis();
+        let timeout = self.timeout.as_millis();
         let expected = self.expected_wait.as_millis();
         let sent_at = self.sent_at.0;
         let replaced = match self.replaced_since {
@@ -69,7 +69,7 @@
         };
         write!(
             f,
-            "version={version} replaced_ms={replaced} sent_at={sent_at} limit_ms={limit} expected_ms={expected}"
+            "version={version} replaced_ms={replaced} sent_at={sent_at} limit_ms={timeout} expected_ms={expected}"
         )
     }
 }
@@ -90,7 +90,7 @@
     let request = Arc::new(request);
     let mut history = History::default();
     loop {
-        if history.runs > 0 && !quarantine::may_repeat(shared, &request) {
+        if history.runs > 0 && !quarantine::may_retry(shared, &request) {
             let reply = Reply::new(
                 Code::Interrupted,
                 "Endpoints crashed while running the request.",
@@ -117,16 +117,16 @@
         if let Some(refusal) = quarantine::refusal(shared, &request) {
             return give_up(shared, &request, history, refusal);
         }
-        let limit = answer_deadline(&request, &target, &history);
+        let answer_deadline = answer_deadline(&request, &target, &history);
         let begun = Instant::now();
         history.last_send = Some(LastSend {
             version: target.copy.as_ref().map(|copy| copy.version),
             replaced_since: target.replaced_since,
             sent_at: shared.now(),
-            limit: limit.saturating_duration_since(begun),
+            timeout: answer_deadline.saturating_duration_since(begun),
             expected_wait: target.expected_wait,
         });
-        let outcome = send::run(shared, &request, &target, limit, None).await;
+        let outcome = send::run(shared, &request, &target, answer_deadline, None).await;
         history.timings.answering = begun.elapsed();
         match handle_outcome(shared, &request, &target, &mut history, outcome).await {
             NextStep::Respond(response) => return response,
@@ -204,10 +204,10 @@
     }
     if status.is_success() && request.route.kind.is_stream() {
         log_answered(shared, request, target, history, status, state);
-        let response = relay::forward_stream(shared, request, target, answered, history.sent + 1);
+        let response = forward::event_stream(shared, request, target, answered, history.sent + 1);
         return NextStep::Respond(response);
     }
-    let response = match relay::forward_whole(shared, request, answered).await {
+    let response = match forward::whole(shared, request, answered).await {
         Ok(response) => response,
         Err(cause) => return retry_lost(request, target, history, &cause),
     };
@@ -250,7 +250,7 @@
 }
 
 fn may_retry(request: &AdmittedRequest, runs: u32) -> bool {
-    request.route.kind.may_repeat() && runs < request.route.max_attempts
+    request.route.kind.may_retry() && runs < request.route.max_attempts
 }
 
 /// Corrects the directory if an endpoint does not hold the adapter listed there. A request without an adapter
@@ -348,7 +348,7 @@
             target.cost.0,
             request.info.prompt_tokens,
             target.load.requests,
-            target.load.reading,
+            target.load.unread_tokens,
             shared.state().limits.get(&target.entry.id),
             state,
             history.sent + 1,
--- a/crates/ploverwick_gateway/src/filters/select.rs
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -13,7 +13,7 @@
 use super::admitted_request::AdmittedRequest;
 use super::missing_adapter;
 use super::reply::Reply;
-use crate::controllers::demand;
+use crate::controllers::load_requests;
 use crate::metrics;
 use crate::shared::Shared;
 use crate::state::State;
@@ -32,7 +32,7 @@
 /// would still meet its objective, and another copy takes a slot from another adapter.
 const MAX_QUEUE_RATIO: f64 = 1.5;
 /// The fill of the best endpoint that holds an adapter above which the adapter is loaded at another one too.
-const CROWDED_FILL: f64 = 0.85;
+const BUSY_FILL: f64 = 0.85;
 /// How often the load of an adapter is requested again while a request waits for it, as messages may be lost.
 const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(70);
 /// The maximum `Retry-After` if no endpoint accepts requests from this instance. Other instances may still be able
@@ -232,7 +232,7 @@
 }
 
 /// Selects an endpoint that holds the adapter, from the current state. If only an older version is held or the
-/// endpoint is crowded, requests a load of the newest version as well.
+/// endpoint is busy, requests a load of the newest version as well.
 fn select_holder(
     shared: &Arc<Shared>,
     request: &AdmittedRequest,
@@ -270,15 +270,14 @@
         .fleet
         .expected_wait(&id, prompt, now)
         .unwrap_or_default();
-    let is_crowded =
-        fill > CROWDED_FILL || queue_wait > request.route.objective.mul_f64(MAX_QUEUE_RATIO);
+    let is_busy = fill > BUSY_FILL || queue_wait > request.route.objective.mul_f64(MAX_QUEUE_RATIO);
     let is_older = held.version != wanted.version;
     let replaced_since = state.directory.replaced_since(&held);
     let start_deadline = staleness_policy(shared).start_deadline(replaced_since, now);
     drop(state);
-    if is_older || is_crowded {
+    if is_older || is_busy {
         let need = if is_older { Need::Any } else { Need::Another };
-        demand::request_adapter(shared, &shared.settings.domain, &wanted, need);
+        load_requests::request_load(shared, &shared.settings.domain, &wanted, need);
     }
     if fill >= max_fill(request) {
         return (Choice::Full, wanted);
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -73,12 +73,12 @@
 
 /// Sends a request to its target.
 ///
-/// `limit` bounds the wait for the head of the answer. `after_event` is the event after which a stream resumes.
+/// `answer_deadline` bounds the wait for the head of the answer. `after_event` is the event after which a stream resumes.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     request: &AdmittedRequest,
     target: &Target,
-    limit: Instant,
+    answer_deadline: Instant,
     after_event: Option<u64>,
 ) -> SendOutcome {
     if request.remaining() < MIN_REMAINING {
@@ -102,22 +102,23 @@
     let mut in_flight = InFlight::start(shared, endpoint, target.copy.clone(), prompt);
     let begun = Instant::now();
     let message = build_message(request, target, &caller, after_event);
-    let (connection, result) = match exchange(shared, request, target, limit, message).await {
-        Exchange::Unsent(cause) => {
-            record_not_run(request);
-            in_flight.set_outcome(Outcome::Broken);
-            return SendOutcome::Unsent(cause);
-        }
-        Exchange::TimedOut => {
-            in_flight.set_outcome(if is_past_start_deadline(shared, target) {
-                Outcome::Abandoned
-            } else {
-                Outcome::Broken
-            });
-            return SendOutcome::TimedOut;
-        }
-        Exchange::Done(connection, result) => (connection, result),
-    };
+    let (connection, result) =
+        match exchange(shared, request, target, answer_deadline, message).await {
+            Exchange::Unsent(cause) => {
+                record_not_run(request);
+                in_flight.set_outcome(Outcome::Broken);
+                return SendOutcome::Unsent(cause);
+            }
+            Exchange::TimedOut => {
+                in_flight.set_outcome(if is_past_start_deadline(shared, target) {
+                    Outcome::Abandoned
+                } else {
+                    Outcome::Broken
+                });
+                return SendOutcome::TimedOut;
+            }
+            Exchange::Done(connection, result) => (connection, result),
+        };
     let (parts, body) = match result {
         Ok(response) => response.into_parts(),
         Err(error) => {
@@ -185,14 +186,14 @@
     shared: &Shared,
     request: &AdmittedRequest,
     target: &Target,
-    limit: Instant,
+    answer_deadline: Instant,
     mut message: Request<Full<Bytes>>,
 ) -> Exchange {
     // A pooled connection may have been closed by the endpoint; hyper then returns the request unsent.
-    let is_last = !request.route.kind.may_repeat();
+    let is_last = !request.route.kind.may_retry();
     while let Some(mut connection) = shared.pool.take(&target.entry.id, is_last) {
         let send = connection.sender.try_send_request(message);
-        match wait_for_answer(shared, target, limit, send).await {
+        match wait_for_answer(shared, target, answer_deadline, send).await {
             None => {
                 if !is_past_start_deadline(shared, target) {
                     // The other pooled connections may be unresponsive for the same reason.
@@ -212,7 +213,7 @@
         Err(cause) => return Exchange::Unsent(cause),
     };
     let send = connection.sender.send_request(message);
-    match wait_for_answer(shared, target, limit, send).await {
+    match wait_for_answer(shared, target, answer_deadline, send).await {
         None => Exchange::TimedOut,
         Some(result) => Exchange::Done(connection, result),
     }
@@ -224,28 +225,31 @@
     let now = Instant::now();
     let copy = target.copy.as_ref();
     let declared = copy.and_then(|copy| select::start_deadline(shared, copy));
-    let limits = [target.start_deadline, declared];
-    limits.into_iter().flatten().any(|limit| limit <= now)
+    let deadlines = [target.start_deadline, declared];
+    deadlines
+        .into_iter()
+        .flatten()
+        .any(|deadline| deadline <= now)
 }
 
 /// Waits for an answer to start; returns `None` on timeout. A version declaration received in the meantime moves
-/// the limit forward, since the version may have been declared before the request was sent.
+/// the deadline forward, since the version may have been declared before the request was sent.
 async fn wait_for_answer<T>(
     shared: &Shared,
     target: &Target,
-    limit: Instant,
+    answer_deadline: Instant,
     answer: impl Future<Output = T>,
 ) -> Option<T> {
     let Some(copy) = &target.copy else {
-        return tokio::time::timeout_at(limit, answer).await.ok();
+        return tokio::time::timeout_at(answer_deadline, answer).await.ok();
     };
     tokio::pin!(answer);
     loop {
         let declared = shared.version_declared.notified();
-        let start_deadline = select::start_deadline(shared, copy).unwrap_or(limit);
+        let start_deadline = select::start_deadline(shared, copy).unwrap_or(answer_deadline);
         tokio::select! {
             answer = &mut answer => return Some(answer),
-            () = tokio::time::sleep_until(limit.min(start_deadline)) => return None,
+            () = tokio::time::sleep_until(answer_deadline.min(start_deadline)) => return None,
             () = declared => {}
         }
     }
--- a/crates/ploverwick_gateway/src/incarnations.rs
+++ b/crates/ploverwick_gateway/src/incarnations.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use ploverwick_platform::roster;
+use ploverwick_platform::endpoint_list;
 
 /// The incarnations of endpoints: one per endpoint, except for a short time after a restart.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 impl Incarnations {
     /// Adds an incarnation, if it is not known yet.
     pub(crate) fn add(&mut self, id: &Arc<str>) {
-        let platform_id = roster::platform_id(id);
+        let platform_id = endpoint_list::platform_id(id);
         match self.0.get_mut(platform_id) {
             Some(incarnations) if incarnations.contains(id) => {}
             Some(incarnations) => incarnations.push(Arc::clone(id)),
@@ -27,7 +27,7 @@
 
     /// Removes an incarnation.
     pub(crate) fn remove(&mut self, id: &str) {
-        let platform_id = roster::platform_id(id);
+        let platform_id = endpoint_list::platform_id(id);
         let Some(incarnations) = self.0.get_mut(platform_id) else {
             return;
         };
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -6,7 +6,9 @@
 
 use crate::broadcast;
 
-use crate::controllers::{demand, draining, freshness, limits, quarantine, quotas, roster};
+use crate::controllers::{
+    draining, endpoint_list, freshness, limits, load_requests, quarantine, quotas,
+};
 use crate::messages::{
     self, AdapterUse, Change, ChangeKind, EndpointDigest, EndpointLoad, Message,
 };
@@ -41,7 +43,7 @@
     }
     match message {
         Message::Changes(changes) => shared.outbox.relay(changes),
-        _ => broadcast::forward(shared, message),
+        _ => broadcast::relay(shared, message),
     }
 }
 
@@ -70,7 +72,9 @@
         }
         Message::LoadTotals(loads) => handle_totals(shared, loads),
         Message::AdapterUses(list) => handle_uses(shared, &list, from),
-        Message::Need { copy, need } => demand::handle_request(shared, &copy, need),
+        Message::LoadRequest { copy, need } => {
+            load_requests::handle_load_request(shared, &copy, need)
+        }
         Message::EndpointReport { endpoint, adapters } => {
             let copies = messages::copies(adapters);
             shared
@@ -81,17 +85,19 @@
         }
         Message::EndpointDigests(digests) => handle_digests(shared, &digests, from),
         Message::EndpointReportRequest(endpoints) => {
-            broadcast::send_holdings(shared, from, &endpoints)
+            broadcast::send_reports(shared, from, &endpoints)
         }
         Message::Changes(changes) => handle_changes(shared, changes),
-        Message::RosterUpdate {
+        Message::EndpointListUpdate {
             changed,
             removed,
             digest,
-        } => roster::handle_list_changes(shared, changed, &removed, digest),
+        } => endpoint_list::handle_peer_update(shared, changed, &removed, digest),
         Message::Records(batch) => shared.inboxes.of(batch.topic).push(batch),
         Message::TopicEnd { topic, end } => shared.inboxes.of(topic).observe_end(end),
-        Message::ProofRequest { query_id } => freshness::handle_question(shared, from, query_id),
+        Message::ProofRequest { query_id } => {
+            freshness::handle_proof_request(shared, from, query_id)
+        }
         Message::Proof {
             query_id,
             end,
@@ -137,7 +143,9 @@
         let counts = load.counts();
         (load.endpoint, counts)
     });
-    state.fleet.record_report(instance, loads.collect(), now);
+    state
+        .fleet
+        .record_peer_loads(instance, loads.collect(), now);
 }
 
 /// Records the requests of all instances at endpoints.
@@ -199,6 +207,6 @@
     }
     drop(state);
     if !differing.is_empty() {
-        broadcast::request_holdings(shared, from, differing);
+        broadcast::request_reports(shared, from, differing);
     }
 }
--- a/crates/ploverwick_gateway/src/messages.rs
+++ b/crates/ploverwick_gateway/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: single datagrams, encoded with postcard.
 //!
-//! A lost message does no harm: loads are sent repeatedly, digests reveal differences in what endpoints
-//! hold, and queries are sent again.
+//! A lost message does no harm: loads are sent periodically, digests reveal differences in the adapters that
+//! endpoints hold, and queries are retried.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -43,7 +43,7 @@
     pub(crate) endpoint: Arc<str>,
     pub(crate) requests: u32,
     /// The number of prompt tokens of requests whose answer has not begun.
-    pub(crate) reading: u32,
+    pub(crate) unread_tokens: u32,
 }
 
 impl EndpointLoad {
@@ -51,14 +51,14 @@
         Self {
             endpoint,
             requests: load.requests,
-            reading: load.reading,
+            unread_tokens: load.unread_tokens,
         }
     }
 
     pub(crate) fn counts(&self) -> ploverwick_endpoints::Load {
         ploverwick_endpoints::Load {
             requests: self.requests,
-            reading: self.reading,
+            unread_tokens: self.unread_tokens,
         }
     }
 }
@@ -89,7 +89,7 @@
     pub(crate) kind: ChangeKind,
 }
 
-/// Identifies a query; an answer repeats it, which tells the sender of the query when it was sent.
+/// Identifies a query; a reply echoes it, so that the sender of the query knows when it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct QueryId {
     /// A random number of the process, because moments of an earlier process mean nothing to the next.
@@ -119,8 +119,8 @@
     LoadTotals(Vec<EndpointLoad>),
     /// The adapters that the sender's requests use.
     AdapterUses(Vec<AdapterUse>),
-    /// A request needs an adapter.
-    Need { copy: Copy, need: Need },
+    /// Requests that the receiver, a placer, have an adapter loaded.
+    LoadRequest { copy: Copy, need: Need },
     /// The complete list of adapters that an endpoint holds.
     EndpointReport {
         endpoint: Arc<str>,
@@ -133,7 +133,7 @@
     /// Changes of adapters at endpoints, in order.
     Changes(Vec<Change>),
     /// Changes in the list of endpoints, and the digest of the whole list.
-    RosterUpdate {
+    EndpointListUpdate {
         changed: Vec<Entry>,
         removed: Vec<Arc<str>>,
         digest: u64,
@@ -210,9 +210,9 @@
             | Self::QuarantineEntries(_) => true,
             Self::Status { .. }
             | Self::AdapterUses(_)
-            | Self::Need { .. }
+            | Self::LoadRequest { .. }
             | Self::EndpointReportRequest(_)
-            | Self::RosterUpdate { .. }
+            | Self::EndpointListUpdate { .. }
             | Self::Records(_)
             | Self::TopicEnd { .. }
             | Self::ProofRequest { .. }
--- a/crates/ploverwick_gateway/src/metrics.rs
+++ b/crates/ploverwick_gateway/src/metrics.rs
@@ -94,8 +94,8 @@
 }
 
 /// Counts a send to an endpoint by its outcome.
-pub(crate) fn send(ending: &'static str) {
-    counter!("ploverwick_sends_total", "ending" => ending).increment(1);
+pub(crate) fn send(outcome: &'static str) {
+    counter!("ploverwick_sends_total", "ending" => outcome).increment(1);
 }
 
 /// Counts a send to an endpoint that has set a limit.
@@ -120,8 +120,8 @@
 
 /// Counts a requested retry by whether the budget allowed it.
 pub(crate) fn retry(is_granted: bool) {
-    let ending = if is_granted { "granted" } else { "refused" };
-    counter!("ploverwick_repeats_total", "ending" => ending).increment(1);
+    let outcome = if is_granted { "granted" } else { "refused" };
+    counter!("ploverwick_repeats_total", "ending" => outcome).increment(1);
 }
 
 /// Counts requests whose connections to an endpoint broke, by the diagnosis of the endpoint.
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -87,10 +87,10 @@
         let clock = Clock::start();
         let lease_policy = LeasePolicy {
             duration: PLACER_LEASE_DURATION.max(settings.shortest_ttl),
-            reacquire_delay: settings.lease,
+            reacquire_delay: settings.reacquire_delay,
             fenced: settings.fenced,
             extension: LEASE_EXTENSION,
-            min_stable: settings.calm,
+            min_stable: settings.min_stable,
         };
         let state = State::new(&settings, lease_policy, clock.now());
         Self {
@@ -149,7 +149,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         let can_accept = self.is_accepting.load(Ordering::Relaxed);
         let state = self.state();
-        let is_loaded = state.config.is_some() && state.has_roster && state.has_table;
+        let is_loaded = state.config.is_some() && state.has_endpoint_list && state.has_table;
         let is_fresh = self.is_fresher_than(&state, READY_AGE_SHARE);
         let has_quotas = state
             .config
@@ -267,9 +267,9 @@
     /// Returns the limit on retries.
     fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
-            ratio: self.settings.repeat_ratio,
-            allowance: self.settings.repeat_allowance,
-            window: self.settings.repeat_window,
+            ratio: self.settings.retry_ratio,
+            allowance: self.settings.retry_allowance,
+            window: self.settings.retry_window,
         }
     }
 }
--- a/crates/ploverwick_gateway/src/handover.rs
+++ b/crates/ploverwick_gateway/src/snapshots.rs
@@ -83,7 +83,10 @@
 fn response(shared: &Shared, requested: SnapshotRequest) -> SnapshotResponse {
     let response = match requested {
         SnapshotRequest::Topic(topic) => topic_snapshot(shared, topic).map(SnapshotResponse::Topic),
-        SnapshotRequest::List => shared.state().roster_snapshot().map(SnapshotResponse::List),
+        SnapshotRequest::List => shared
+            .state()
+            .endpoint_list_snapshot()
+            .map(SnapshotResponse::List),
     };
     response.unwrap_or(SnapshotResponse::NotReady)
 }
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -7,7 +7,8 @@
 
 use ploverwick_adapters::{Copy, Directory, Lease, LeasePolicy, LoadLimiter, Placer, Watermark};
 use ploverwick_endpoints::{
-    Balance, Budget, Departures, Entry, Fleet, Held, InstanceCount, Limits, Pauses, RetryPolicy,
+    Balance, Budget, DrainingReports, Entry, Fleet, Held, InstanceCount, Limits, Pauses,
+    RetryPolicy,
 };
 use ploverwick_limits::{PriorUse, RateLimiter};
 use ploverwick_names::Moment;
@@ -80,9 +81,9 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) config: Option<Arc<Config>>,
-    pub(crate) has_roster: bool,
+    pub(crate) has_endpoint_list: bool,
     /// When a peer last sent a digest of the list of endpoints that matched this instance's list.
-    pub(crate) roster_confirmed_at: Option<Moment>,
+    pub(crate) endpoint_list_confirmed_at: Option<Moment>,
     /// Whether this process has read the table's topic, so that a missing table means that there is none.
     pub(crate) has_table: bool,
     /// The operators' table; `None` until one is published.
@@ -94,7 +95,7 @@
     /// The pauses that endpoints requested in their answers to this instance.
     pub(crate) pauses: Pauses,
     /// The endpoints whose answers to this instance reported that they are leaving.
-    pub(crate) departures: Departures,
+    pub(crate) draining_reports: DrainingReports,
     /// The incarnations of the endpoints in `fleet`.
     pub(crate) incarnations: Incarnations,
     pub(crate) directory: Directory,
@@ -138,8 +139,8 @@
     pub(crate) fn new(settings: &Settings, lease_policy: LeasePolicy, now: Moment) -> Self {
         Self {
             config: None,
-            has_roster: false,
-            roster_confirmed_at: None,
+            has_endpoint_list: false,
+            endpoint_list_confirmed_at: None,
             has_table: false,
             table: None,
             rate_limiter: RateLimiter::new(if settings.first_start {
@@ -150,7 +151,7 @@
             fleet: Fleet::default(),
             limits: Limits::default(),
             pauses: Pauses::default(),
-            departures: Departures::default(),
+            draining_reports: DrainingReports::default(),
             incarnations: Incarnations::default(),
             directory: Directory::default(),
             watermark: Watermark::default(),
@@ -199,7 +200,7 @@
 
     /// Returns the list of endpoints with the adapters that each holds, for an instance that has just
     /// started; `None` if this instance has not read the list yet.
-    pub(crate) fn roster_snapshot(&self) -> Option<Vec<Entry>> {
+    pub(crate) fn endpoint_list_snapshot(&self) -> Option<Vec<Entry>> {
         let entries = self.fleet.entries().map(|entry| {
             let mut entry = entry.clone();
             if let Some(copies) = self.directory.held(&entry.id) {
@@ -207,7 +208,7 @@
             }
             entry
         });
-        self.has_roster.then(|| entries.collect())
+        self.has_endpoint_list.then(|| entries.collect())
     }
 
     /// Returns how many adapters wait for placement in a failure domain; `None` if it has no available
--- a/crates/ploverwick_gateway/src/topics.rs
+++ b/crates/ploverwick_gateway/src/topics.rs
@@ -1,4 +1,4 @@
-//! The topics of the store that a few instances read for the others, and the records that peers forward.
+//! The topics of the store that a few instances read for the others, and the records that peers relay.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard};
@@ -16,7 +16,7 @@
 /// records of dropped batches are read from the store.
 const MAX_QUEUED_BATCHES: usize = 64;
 
-/// A topic whose records instances forward to each other.
+/// A topic whose records instances relay to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Topic {
     /// The records that the operator writes.
@@ -74,13 +74,13 @@
     }
 }
 
-/// A record that a peer forwards.
+/// A record that a peer relays.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct RelayedRecord {
     pub(crate) key: String,
     pub(crate) value: Option<Vec<u8>>,
     pub(crate) offset: u64,
-    /// The maximum age of the record in milliseconds when it was forwarded; `None` if it is unknown.
+    /// The maximum age of the record in milliseconds when it was relayed; `None` if it is unknown.
     pub(crate) age_ms: Option<u64>,
 }
 
--- a/crates/ploverwick_gateway/tests/base_model_loads.rs
+++ b/crates/ploverwick_gateway/tests/base_model_loads.rs
@@ -27,7 +27,7 @@
     }
     store.configure(&settings::config(1));
     let gateway = Gateway::with_settings(store, |settings| {
-        settings.calm = settings.lease;
+        settings.min_stable = settings.reacquire_delay;
         settings.load_window = Duration::from_mins(10);
         change(settings);
     })
--- a/crates/ploverwick_gateway/tests/reported_departure.rs
+++ b/crates/ploverwick_gateway/tests/draining_reports.rs
@@ -31,7 +31,7 @@
 
 /// Guards against requests to a leaving endpoint while the store is unavailable and the list cannot be updated.
 #[tokio::test]
-async fn store_away() -> Result<()> {
+async fn store_unavailable() -> Result<()> {
     let (a, b) = two_app_endpoints().await?;
     let gateway = Gateway::with_endpoints(&[&a, &b]).await?;
     gateway.store.set_unavailable(true);
@@ -99,7 +99,7 @@
 
 /// Guards against requests from an instance that can learn of the departure only from another instance.
 #[tokio::test]
-async fn peer_is_told() -> Result<()> {
+async fn peer_is_notified() -> Result<()> {
     let store = Store::start().await?;
     store.configure(&settings::config(1));
     let (a, b) = two_app_endpoints().await?;
--- a/crates/ploverwick_gateway/tests/malformed_records.rs
+++ b/crates/ploverwick_gateway/tests/malformed_records.rs
@@ -8,7 +8,7 @@
 use common::{Gateway, two_app_endpoints};
 use googletest::prelude::*;
 use http::StatusCode;
-use ploverwick_platform::{INSTANCE_TOPIC, OPERATOR_TOPIC, ROSTER_TOPIC, TABLE_TOPIC};
+use ploverwick_platform::{ENDPOINT_TOPIC, INSTANCE_TOPIC, OPERATOR_TOPIC, TABLE_TOPIC};
 use ploverwick_platform_standin::endpoint::Endpoint;
 use ploverwick_platform_standin::settings;
 use ploverwick_platform_standin::store::Store;
@@ -29,7 +29,7 @@
         &huge,
     ];
     for (number, value) in values.iter().enumerate() {
-        for topic in [ROSTER_TOPIC, INSTANCE_TOPIC, TABLE_TOPIC] {
+        for topic in [ENDPOINT_TOPIC, INSTANCE_TOPIC, TABLE_TOPIC] {
             store.write(topic, &format!("other-{number}"), value);
         }
         store.write(OPERATOR_TOPIC, &format!("version/other-{number}"), value);
@@ -85,8 +85,8 @@
     // A malformed entry under the name of a valid endpoint is ignored, and the earlier entry of the endpoint stays.
     gateway
         .store
-        .write(ROSTER_TOPIC, a.id(), b"{\"service\":[]}");
-    gateway.store.write(ROSTER_TOPIC, b.id(), b"null");
+        .write(ENDPOINT_TOPIC, a.id(), b"{\"service\":[]}");
+    gateway.store.write(ENDPOINT_TOPIC, b.id(), b"null");
     tokio::time::sleep(LIST_DELAY).await;
     gateway.store.configure(&settings::config(2));
     for number in 0..20 {
--- a/crates/ploverwick_gateway/tests/replaced_versions.rs
+++ b/crates/ploverwick_gateway/tests/replaced_versions.rs
@@ -155,7 +155,7 @@
 /// Guards against an instance with a silent connection to the store that does not learn of a declaration from its
 /// peers.
 #[tokio::test]
-async fn peers_forward_declaration() -> Result<()> {
+async fn peers_relay_declaration() -> Result<()> {
     let store = Store::start().await?;
     let engine = start_holder(&store).await?;
     let (front, proxy) = start_behind_proxy(&store, BOUND).await?;
--- a/crates/ploverwick_gateway/tests/restored_store.rs
+++ b/crates/ploverwick_gateway/tests/restored_store.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use ploverwick_gateway::table;
 use ploverwick_platform::{
-    self as platform, INSTANCE_TOPIC, OPERATOR_TOPIC, ROSTER_TOPIC, TABLE_TOPIC,
+    self as platform, ENDPOINT_TOPIC, INSTANCE_TOPIC, OPERATOR_TOPIC, TABLE_TOPIC,
 };
 use ploverwick_platform_standin::client::{self, ClientRequest};
 use ploverwick_platform_standin::endpoint::Endpoint;
@@ -25,7 +25,7 @@
 /// The bound within which a configuration must be in force at all instances.
 const IN_FORCE: Duration = Duration::from_secs(2);
 /// How long the store is unavailable during a restore.
-const AWAY: Duration = Duration::from_millis(300);
+const OUTAGE_DURATION: Duration = Duration::from_millis(300);
 /// The number of records that the copy lacks.
 const LOST_RECORDS: usize = 4;
 
@@ -38,7 +38,7 @@
 /// Makes the store unavailable and restores it without the last records of a topic.
 async fn restore(store: &Store, topic: &str, records: usize) {
     store.set_unavailable(true);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE_DURATION).await;
     store.restore(topic, records);
     store.set_unavailable(false);
 }
@@ -83,7 +83,7 @@
 /// Guards against instances that ignore records from their peers after a restore because the offsets are lower
 /// than those already read.
 #[tokio::test]
-async fn told_after_restore() -> Result<()> {
+async fn records_are_relayed_after_restore() -> Result<()> {
     let (store, _endpoint, instances) = start_domain().await?;
     restore(&store, OPERATOR_TOPIC, LOST_RECORDS).await;
     tokio::time::sleep(IN_FORCE).await;
@@ -101,7 +101,7 @@
 async fn offsets_are_reused() -> Result<()> {
     let (store, _endpoint, instances) = start_domain().await?;
     store.set_unavailable(true);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(OUTAGE_DURATION).await;
     store.restore(OPERATOR_TOPIC, LOST_RECORDS);
     store.configure(&with_route(7, "/seventh/"));
     for version in 1..=LOST_RECORDS as u64 + 2 {
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// Guards against calls that repeat without a pause because peers report offsets that the store does not have.
+/// Guards against calls that are retried without a pause because peers report offsets that the store does not have.
 #[tokio::test]
 async fn calls_stay_few() -> Result<()> {
     let (store, _endpoint, _instances) = start_domain().await?;
@@ -141,8 +141,8 @@
     }
     tokio::time::sleep(SETTLED).await;
     gateway.store.set_unavailable(true);
-    tokio::time::sleep(AWAY).await;
-    gateway.store.restore(ROSTER_TOPIC, LOST_RECORDS);
+    tokio::time::sleep(OUTAGE_DURATION).await;
+    gateway.store.restore(ENDPOINT_TOPIC, LOST_RECORDS);
     gateway.store.list(a.id(), &a.entry("draining"));
     for _ in 0..LOST_RECORDS + 2 {
         gateway.store.list(b.id(), &b.entry("ready"));
@@ -162,7 +162,7 @@
 async fn missing_endpoints_are_awaited() -> Result<()> {
     let (a, b) = two_app_endpoints().await?;
     let gateway = Gateway::with_endpoints(&[&a, &b]).await?;
-    gateway.store.restore(ROSTER_TOPIC, usize::MAX);
+    gateway.store.restore(ENDPOINT_TOPIC, usize::MAX);
     // Longer than the pause between two reads of the list, shorter than the wait for missing endpoints.
     tokio::time::sleep(Duration::from_millis(1_300)).await;
     let got = gateway.request("meanwhile", "/safe/").await?;
@@ -176,7 +176,7 @@
     Ok(())
 }
 
-/// Guards against running instances that stay unlisted because the copy lacks their lines.
+/// Guards against running instances that stay unlisted because the copy lacks their entries.
 #[tokio::test]
 async fn instances_are_listed_again() -> Result<()> {
     let (store, _endpoint, _instances) = start_domain().await?;
--- a/crates/ploverwick_quarantine/src/broken_connections.rs
+++ b/crates/ploverwick_quarantine/src/broken_connections.rs
@@ -76,7 +76,7 @@
 
 /// The endpoints whose connections broke recently.
 ///
-/// They are keyed by an identifier that is unique to one run of the endpoint's process.
+/// They are keyed by an identifier that is unique to one incarnation of the endpoint.
 #[derive(Debug, Default)]
 pub struct BrokenConnections(HashMap<Arc<str>, DiagnosisState>);
 
--- a/crates/ploverwick_quarantine/src/quarantine.rs
+++ b/crates/ploverwick_quarantine/src/quarantine.rs
@@ -29,7 +29,7 @@
     /// Returns whether the request may be retried at another endpoint automatically. If one more crash would cause it
     /// to be refused, the caller has to send it again: an automatic retry that crashes the endpoint costs other
     /// callers their answers.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         match self {
             Self::Clear => true,
             Self::Suspected(crashes) => crashes + 1 < CRASH_THRESHOLD,
--- a/crates/ploverwick_quarantine/tests/entry_merge.rs
+++ b/crates/ploverwick_quarantine/tests/entry_merge.rs
@@ -68,7 +68,7 @@
     }
     let status = one.status(&request(0), START);
     expect_that!(status, eq(Status::Suspected(2)));
-    expect_that!(status.may_repeat(), eq(false));
+    expect_that!(status.may_retry(), eq(false));
 }
 
 /// Each of three instances observed one of the crashes.
--- a/crates/ploverwick_quota/src/allocation.rs
+++ b/crates/ploverwick_quota/src/allocation.rs
@@ -11,7 +11,7 @@
 use crate::demand::Demand;
 use crate::retry_after;
 use crate::unspent::UnspentUnits;
-use crate::{Grant, GrantRequest, Lease, PREFETCH_HORIZON, lease_duration, lease_interval};
+use crate::{Grant, GrantRequest, Lease, PREFETCH_DURATION, lease_duration, lease_interval};
 
 /// The assumed maximum delay of a message. A pool counts the duration of a lease from the arrival of the message, so
 /// the owner waits this much longer before it reuses its share.
@@ -482,7 +482,7 @@
     /// Builds the request to the pool, or returns `None` if no units are needed.
     fn build_request(&mut self, name: &Arc<str>, now: Moment) -> Option<GrantRequest> {
         self.unspent.expire(now);
-        let target = self.demand.rate(now) * PREFETCH_HORIZON.as_secs_f64();
+        let target = self.demand.rate(now) * PREFETCH_DURATION.as_secs_f64();
         let unspent = self.unspent.sum();
         let is_worth_it = target >= self.demand.mean_cost() && unspent < target / 2.0;
         let prefetch = if is_worth_it { target - unspent } else { 0.0 };
--- a/crates/ploverwick_quota/src/lib.rs
+++ b/crates/ploverwick_quota/src/lib.rs
@@ -36,7 +36,7 @@
 
 /// How much future demand is granted in advance. It covers most of the time until a pool failure is detected, and
 /// spares most requests of a large organisation a round trip to the pool.
-const PREFETCH_HORIZON: Duration = Duration::from_millis(250);
+const PREFETCH_DURATION: Duration = Duration::from_millis(250);
 
 /// Returns the interval at which an instance renews its lease.
 pub fn lease_interval(instance_count: usize) -> Duration {
--- a/crates/ploverwick_quota/src/pool.rs
+++ b/crates/ploverwick_quota/src/pool.rs
@@ -10,7 +10,7 @@
 
 use crate::retry_after;
 use crate::sliding_window::{self, SlidingWindow};
-use crate::{Grant, GrantRequest, Lease, PREFETCH_HORIZON};
+use crate::{Grant, GrantRequest, Lease, PREFETCH_DURATION};
 
 /// The fraction of a window's limit that must stay free when units are granted in advance. With less headroom the
 /// organisation is close to its quota, and units unused at one instance are missing at another.
@@ -59,7 +59,7 @@
 /// Pools the shares that instances lease to this one, and grants units from them.
 ///
 /// In any window of time a pool grants no more than the share of the quota that was leased to it over that
-/// window. That alone is not enough if pools fail. After a quiet time a pool could grant a whole window's worth
+/// window. That alone is not enough if pools fail. After a time without requests a pool could grant a whole window's worth
 /// within half a window and fail, and the next window would hold those units and the grants of its successors.
 ///
 /// Two further limits prevent this. Over any time, a pool grants no more than [`MAX_LEAD_SECS`] seconds' worth
@@ -233,7 +233,7 @@
     window: f64,
     /// The units within [`PACING_WINDOW`].
     second: f64,
-    /// The units within [`PREFETCH_HORIZON`].
+    /// The units within [`PREFETCH_DURATION`].
     recent: f64,
     /// The units ahead of [`LEAD_RATE_FRACTION`] of the sustained rate, over the time in which that is largest.
     lead: f64,
@@ -246,7 +246,7 @@
         Self {
             window: account.granted.sum(limits.window_len, now),
             second: account.granted.sum_of_last(PACING_WINDOW, now),
-            recent: account.granted.sum_of_last(PREFETCH_HORIZON, now),
+            recent: account.granted.sum_of_last(PREFETCH_DURATION, now),
             lead: account
                 .granted
                 .excess(limits.rate * LEAD_RATE_FRACTION, now),
@@ -280,7 +280,7 @@
     /// Returns the units that may be granted in advance.
     fn prefetch_room(&self, limits: &Limits) -> f64 {
         let room = limits.window * (1.0 - PREFETCH_HEADROOM) - self.window;
-        let pace = limits.rate * PREFETCH_HORIZON.as_secs_f64() - self.recent;
+        let pace = limits.rate * PREFETCH_DURATION.as_secs_f64() - self.recent;
         let lead = limits.max_lead() - limits.lead_cost(f64::MAX) - self.lead;
         room.min(pace).min(lead)
     }
--- a/crates/ploverwick_routes/src/route.rs
+++ b/crates/ploverwick_routes/src/route.rs
@@ -19,7 +19,7 @@
 
 impl Kind {
     /// Returns whether a request that may have run may be retried from its start.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         match self {
             Self::Idempotent | Self::Stream { resumable: true } => true,
             Self::NonIdempotent | Self::Stream { resumable: false } => false,
--- a/crates/ploverwick_topics/src/freshness.rs
+++ b/crates/ploverwick_topics/src/freshness.rs
@@ -3,7 +3,7 @@
 //! An instance that must stop honouring revoked data within a bound needs more than the newest record that
 //! it received: it must know that there was no newer one. A read of the store that finds the end of the topic
 //! proves this as of the moment at which the read started. A peer can pass its own proof on with the proof's
-//! age. The age counts from when the question to the peer was sent, so that neither a slow network nor a
+//! age. The age counts from when the request to the peer was sent, so that neither a slow network nor a
 //! peer that was suspended makes a proof look younger than it is.
 
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 const SPREAD_SHARE: f64 = 0.004;
 /// The maximum number of instances whose reads are spread out in this way.
 const MAX_SPREAD_RANKS: usize = 25;
-/// The interval between questions to peers, as a share of the bound.
+/// The interval between requests to peers, as a share of the bound.
 const ASK_INTERVAL_SHARE: f64 = 0.12;
 /// The same interval before the first proof, for which requests wait.
 const FIRST_ASK_INTERVAL_SHARE: f64 = 0.02;
--- a/crates/ploverwick_topics/src/lib.rs
+++ b/crates/ploverwick_topics/src/lib.rs
@@ -1,7 +1,7 @@
 //! Follows the topics of a store with a few readers per failure domain.
 //!
 //! If every instance kept a long poll open, each record would cost one store call per instance. Instead, a
-//! few instances of each failure domain read the store and forward new records to the others in datagrams.
+//! few instances of each failure domain read the store and relay new records to the others in datagrams.
 //! An instance that misses a datagram reads the store itself. The number of store calls grows with the
 //! number of failure domains and not with the number of instances.
 //!
--- a/crates/ploverwick_topics/src/role.rs
+++ b/crates/ploverwick_topics/src/role.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The number of instances per failure domain that read a topic. With two, each continues if the other fails,
-/// and forwards the records that the other misses.
+/// and relays the records that the other misses.
 const READERS_PER_DOMAIN: usize = 2;
 /// The maximum number of failing readers that are replaced. In an outage of the whole store every instance
 /// fails, and each replacement would only add calls.
@@ -23,7 +23,7 @@
     Fails,
 }
 
-/// The key by which instances rank each other: by descending CPU capacity, because reading and forwarding
+/// The key by which instances rank each other: by descending CPU capacity, because reading and relaying
 /// for others costs CPU time, then by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Another instance of the same failure domain that was heard from recently.
+/// Another instance of the same failure domain that sent a message recently.
 #[derive(Debug, Clone, Copy)]
 pub struct Peer<'a> {
     /// Its ranking key.
--- a/crates/ploverwick_topics/src/subscription.rs
+++ b/crates/ploverwick_topics/src/subscription.rs
@@ -6,8 +6,8 @@
 
 use crate::{Position, Role};
 
-/// How long a reader waits after its process starts before the first long poll. By then it has heard from
-/// its peers, and usually finds that others read for it. When all instances start at once, this saves one
+/// How long a reader waits after its process starts before the first long poll. By then it has received messages
+/// from its peers, and usually finds that others read for it. When all instances start at once, this saves one
 /// call per instance.
 const STARTUP_WAIT: Duration = Duration::from_secs(1);
 /// The minimum delay before an instance reads records that a peer reported but that did not arrive, because
@@ -166,7 +166,7 @@
         self.next = None;
     }
 
-    /// Takes in the records from `from` up to but excluding `next` from a peer. They become known if they
+    /// Records the receipt of the records from `from` up to but excluding `next` from a peer. They become known if they
     /// continue the known records.
     pub fn receive(&mut self, from: Position, next: Position, now: Moment) -> Fit {
         match self.next {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Takes in the position up to which a peer has read.
+    /// Records the position up to which a peer has read.
     pub fn observe_end(&mut self, end: Position, now: Moment) {
         self.reported_end = self.reported_end.max(end);
         if self.next.is_some_and(|next| self.reported_end > next) {
--- a/crates/ploverwick_topics/tests/reader_selection.rs
+++ b/crates/ploverwick_topics/tests/reader_selection.rs
@@ -16,7 +16,7 @@
     Candidate { capacity, name }
 }
 
-/// Reading and forwarding for forty instances needs more CPU capacity than most instances have.
+/// Reading and relaying for forty instances needs more CPU capacity than most instances have.
 #[gtest]
 fn larger_capacity_ranks_first() {
     let peers = [("a", 120), ("y", 500), ("z", 500)];
--- a/crates/ploverwick_topics/tests/revocation_histories.rs
+++ b/crates/ploverwick_topics/tests/revocation_histories.rs
@@ -44,8 +44,8 @@
         end: u64,
         is_proof: bool,
     },
-    /// A peer forwards a record.
-    Forwarded { to: usize, end: u64 },
+    /// A peer relays a record.
+    Relayed { to: usize, end: u64 },
 }
 
 #[derive(Debug, Default)]
@@ -127,7 +127,7 @@
         };
     }
 
-    /// Revokes a key. Readers receive the record first and forward it to the others; some messages are lost.
+    /// Revokes a key. Readers receive the record first and relay it to the others; some messages are lost.
     fn revoke(&mut self) {
         self.revoked.push(self.now);
         let end = self.revoked.len() as u64;
@@ -141,7 +141,7 @@
                 } else {
                     self.store.latency_ms + 3
                 };
-                self.schedule(delay, Event::Forwarded { to, end });
+                self.schedule(delay, Event::Relayed { to, end });
             }
         }
     }
@@ -278,7 +278,7 @@
             let (Event::Asked { to, .. }
             | Event::Answered { to, .. }
             | Event::Read { to, .. }
-            | Event::Forwarded { to, .. }) = event;
+            | Event::Relayed { to, .. }) = event;
             let frozen_until = self.instances[to].frozen_until;
             if frozen_until > self.now {
                 // The event waits in the socket buffer of the frozen instance.
@@ -349,7 +349,7 @@
                     instance.advance(end);
                 }
             }
-            Event::Forwarded { to, end } => {
+            Event::Relayed { to, end } => {
                 let instance = &mut self.instances[to];
                 if instance.next + 1 == end {
                     instance.advance(end);
