--- a/crates/ploverwick_adapters/src/domain.rs
+++ b/crates/ploverwick_adapters/src/domain.rs
@@ -1,11 +1,11 @@
 //! Chooses the failure domain that loads an adapter which no endpoint can serve yet.
 //!
 //! All instances compute the same choice from the messages that they receive, so that an adapter is
-//! loaded once and not in every failure domain. The domain that held it last is preferred, as it loads there ten
-//! times as fast and without using the weight store; otherwise the choice follows a hash weighted
-//! by the number of endpoints in each domain. A domain in which many adapters wait for a slot is
-//! passed over: a load requested there and, when that takes too long, in another domain too
-//! occupies two slots and loads from the weight store twice.
+//! loaded once and not in every failure domain. The domain that held it last is preferred, as it
+//! loads there ten times as fast and without using the weight store; otherwise the choice follows a
+//! hash weighted by the number of endpoints in each domain. A domain in which many adapters wait
+//! for a slot is passed over: a load requested there and, when that takes too long, in another
+//! domain too occupies two slots and loads from the weight store twice.
 
 use ploverwick_placement::{Candidate, rank};
 
--- a/crates/ploverwick_adapters/src/lease.rs
+++ b/crates/ploverwick_adapters/src/lease.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct Lease {
     policy: LeasePolicy,
-    held: Option<Holding>,
+    held: Option<HeldLease>,
     /// The last time at which this instance may have sent an order.
     last_held: Option<Moment>,
     fenced_token: Option<u64>,
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Holding {
+struct HeldLease {
     token: u64,
     expires: Moment,
     usable_from: Moment,
@@ -126,7 +126,7 @@
         // The token only rises while the lease is held; a lower one comes from an answer that
         // arrived out of order.
         let token = self.held.map_or(token, |held| held.token.max(token));
-        self.held = Some(Holding {
+        self.held = Some(HeldLease {
             token,
             expires,
             usable_from,
@@ -161,7 +161,7 @@
         self.held.is_some_and(|held| now < self.expiry(held))
     }
 
-    fn expiry(&self, held: Holding) -> Moment {
+    fn expiry(&self, held: HeldLease) -> Moment {
         if self.policy.fenced {
             held.expires + self.policy.extension
         } else {
--- a/crates/ploverwick_adapters/src/slots.rs
+++ b/crates/ploverwick_adapters/src/slots.rs
@@ -25,8 +25,8 @@
 /// more than the message.
 const POLL_INTERVAL: Duration = Duration::from_millis(18);
 /// How long an instance's statement that it uses an adapter is valid. Instances send it again every
-/// 150 ms, so that four lost messages in a row do not free an adapter, and a lost final message does
-/// not block its slot forever.
+/// 150 ms, so that four lost messages in a row do not free an adapter, and a lost final message
+/// does not block its slot forever.
 const USE_TTL: Duration = Duration::from_millis(700);
 /// The number of consecutive orders and report requests without an answer after which an endpoint
 /// counts as unresponsive. On a lossy network a few in a row occur by chance; an endpoint that
--- a/crates/ploverwick_adapters/tests/base_load_limit.rs
+++ b/crates/ploverwick_adapters/tests/base_load_limit.rs
@@ -7,7 +7,7 @@
 use ploverwick_names::Moment;
 use proptest::prelude::*;
 
-const QALAM: LoadLimit = LoadLimit {
+const LIMIT: LoadLimit = LoadLimit {
     rate: 9.3,
     overshoot: 1.1,
     window: Duration::from_secs(5),
@@ -16,11 +16,11 @@
 
 #[googletest::test]
 fn share_is_floored_to_at_least_one() {
-    expect_that!(QALAM.share(), eq(18));
+    expect_that!(LIMIT.share(), eq(18));
     let slow = LoadLimit {
         rate: 0.1,
         domains: 4,
-        ..QALAM
+        ..LIMIT
     };
     expect_that!(slow.share(), eq(1));
 }
@@ -28,7 +28,7 @@
 #[googletest::test]
 fn waits_until_window_has_room() {
     let mut limiter = LoadLimiter::default();
-    let limit = LoadLimit { rate: 0.6, ..QALAM };
+    let limit = LoadLimit { rate: 0.6, ..LIMIT };
     assert_that!(limit.share(), eq(2));
     for at in [0, 1_000] {
         assert_that!(limiter.next_at(&limit, Moment(at)), none());
@@ -44,14 +44,14 @@
 fn assumes_window_spent_at_start() {
     let mut limiter = LoadLimiter::after_unknown_loads(Moment(1_000));
     expect_that!(
-        limiter.next_at(&QALAM, Moment(1_000)),
+        limiter.next_at(&LIMIT, Moment(1_000)),
         some(eq(Moment(6_001)))
     );
     expect_that!(
-        limiter.next_at(&QALAM, Moment(6_000)),
+        limiter.next_at(&LIMIT, Moment(6_000)),
         some(eq(Moment(6_001)))
     );
-    expect_that!(limiter.next_at(&QALAM, Moment(6_001)), none());
+    expect_that!(limiter.next_at(&LIMIT, Moment(6_001)), none());
 }
 
 proptest! {
@@ -59,12 +59,12 @@
 
     /// Checks any rate and any sequence of requested loads.
     #[test]
-    fn no_window_exceeds_share(rate in 0.0..8.0_f64, asked in prop::collection::vec(0_u64..700, 1..120)) {
-        let limit = LoadLimit { rate, ..QALAM };
+    fn no_window_exceeds_share(rate in 0.0..8.0_f64, pauses in prop::collection::vec(0_u64..700, 1..120)) {
+        let limit = LoadLimit { rate, ..LIMIT };
         let mut limiter = LoadLimiter::default();
         let mut now = Moment(0);
         let mut started: Vec<Moment> = Vec::new();
-        for pause in asked {
+        for pause in pauses {
             now = now + Duration::from_millis(pause);
             if limiter.next_at(&limit, now).is_none() {
                 limiter.record_load(now);
--- a/crates/ploverwick_adapters/tests/copy_growth.rs
+++ b/crates/ploverwick_adapters/tests/copy_growth.rs
@@ -48,23 +48,26 @@
 }
 
 /// Requests the adapter as often as many concurrent requests do, and returns where it was placed.
-fn ask(placer: &mut Placer, targets: &[Target], need: Need) -> HashSet<Arc<str>> {
+fn request_load(placer: &mut Placer, targets: &[Target], need: Need) -> HashSet<Arc<str>> {
     let chosen = (0..50).filter_map(|_| placer.place(&hot(), targets, need, &[], NOW));
     chosen.collect()
 }
 
-/// Found by turnovar-ops-grown scale-2: adding one copy at a time took seconds to serve an adapter
-/// that a fifth of all requests named.
+/// Guards against adding one copy at a time, which took seconds to serve an adapter that a fifth of
+/// all requests named. The scenario `scale-2` showed this failure.
 #[googletest::test]
-fn crowded_adapter_doubles_copies() {
+fn busy_adapter_doubles_copies() {
     for (holders, more) in [(1, 1), (3, 3), (8, 8)] {
         let (mut placer, targets) = placer(20, holders);
-        expect_that!(ask(&mut placer, &targets, Need::Another).len(), eq(more));
+        expect_that!(
+            request_load(&mut placer, &targets, Need::Another).len(),
+            eq(more)
+        );
     }
 }
 
 #[googletest::test]
 fn cold_adapter_loaded_once() {
     let (mut placer, targets) = placer(20, 0);
-    expect_that!(ask(&mut placer, &targets, Need::Any).len(), eq(1));
+    expect_that!(request_load(&mut placer, &targets, Need::Any).len(), eq(1));
 }
--- a/crates/ploverwick_endpoints/src/entry.rs
+++ b/crates/ploverwick_endpoints/src/entry.rs
@@ -26,7 +26,7 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Identifies this run of the endpoint. A restarted endpoint has a new identifier, even if the
+    /// Identifies this incarnation of the endpoint. A restarted endpoint has a new identifier, even if the
     /// platform lists it under the same name.
     pub id: Arc<str>,
     /// The service that the endpoint belongs to.
--- a/crates/ploverwick_endpoints/tests/draining_reports.rs
+++ b/crates/ploverwick_endpoints/tests/draining_reports.rs
@@ -49,7 +49,7 @@
 
 /// Guards against departures that are broadcast indefinitely.
 #[googletest::test]
-fn old_departures_are_not_recent() {
+fn old_reports_are_not_recent() {
     let mut draining_reports = DrainingReports::default();
     let endpoint: Arc<str> = Arc::from("i-a");
     draining_reports.record(&endpoint, Moment(1_000));
--- a/crates/ploverwick_endpoints/tests/endpoint_choice.rs
+++ b/crates/ploverwick_endpoints/tests/endpoint_choice.rs
@@ -60,7 +60,7 @@
 }
 
 #[googletest::test]
-fn peer_reports_count_until_expired() {
+fn peer_loads_count_until_expired() {
     let mut fleet = fleet();
     let load = Load {
         requests: 6,
@@ -69,7 +69,7 @@
     let loads = HashMap::from([(Arc::from("a"), load)]);
     fleet.record_peer_loads(Arc::from("peer"), loads, Moment(0));
     expect_that!(first(&fleet, Moment(10)).as_deref(), some(not(eq("a"))));
-    // An expired report is ignored.
+    // An expired load is ignored.
     expect_that!(first(&fleet, Moment(9_000)).as_deref(), some(eq("a")));
 }
 
@@ -147,8 +147,8 @@
     expect_that!(same.digest(), not(eq(fleet.digest())));
 }
 
-/// Guards against a thundering herd: 18 instances with the same reports selected the same endpoint until
-/// its load was reported, and it refused their requests.
+/// Guards against a thundering herd: 18 instances that knew the same loads selected the same endpoint until
+/// its load was updated, and it refused their requests.
 #[googletest::test]
 fn jitter_spreads_concurrent_requests() {
     let mut fleet = Fleet::default();
--- a/crates/ploverwick_endpoints/tests/limited_fleet/mod.rs
+++ b/crates/ploverwick_endpoints/tests/limited_fleet/mod.rs
@@ -405,7 +405,7 @@
         }
     }
 
-    /// Assigns an instance its share of a limit, based on the instances that it believes to be running.
+    /// Assigns an instance its share of a limit, based on the instances that it considers alive.
     fn assign(&mut self, number: usize, endpoint: &str) {
         let now = self.moment();
         let Some(limit) = self.instances[number].limits.get(endpoint) else {
--- a/crates/ploverwick_endpoints/tests/many_endpoints.rs
+++ b/crates/ploverwick_endpoints/tests/many_endpoints.rs
@@ -1,5 +1,5 @@
-//! Tests with 3,000 endpoints and 100 reporting peers: selection among the endpoints that hold an adapter agrees
-//! with the full ranking, and summed loads match the reports that have not expired.
+//! Tests with 3,000 endpoints and 100 peers: selection among the endpoints that hold an adapter agrees
+//! with the full ranking, and summed loads match the loads of peers that have not expired.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 const ENDPOINTS: usize = 3_000;
 const PEERS: usize = 100;
-/// Longer than the maximum age of a report.
+/// Longer than the maximum age of a peer's load.
 const EXPIRY: Duration = Duration::from_millis(2_600);
 
 fn id(number: usize) -> Arc<str> {
@@ -121,7 +121,7 @@
 }
 
 #[googletest::test]
-fn load_is_sum_of_current_reports() {
+fn load_is_sum_of_current_peer_loads() {
     let mut random = StdRng::seed_from_u64(2);
     let mut now = Moment(5_000);
     let mut fleet = fleet(&mut random, now);
@@ -133,7 +133,7 @@
         let peer = format!("p{}", random.random_range(0..PEERS));
         fleet.record_peer_loads(Arc::from(peer), loads(&mut random), now);
     }
-    // Reports from before the last expiry no longer count.
+    // Loads from before the last expiry no longer count.
     now = now + EXPIRY;
     let last = loads(&mut random);
     fleet.record_peer_loads(Arc::from("p0"), last.clone(), now);
--- a/crates/ploverwick_gateway/src/broadcast.rs
+++ b/crates/ploverwick_gateway/src/broadcast.rs
@@ -86,8 +86,8 @@
 }
 
 fn flush(shared: &Shared) {
-    let waiting = shared.outbox.take();
-    if waiting.remote.is_empty() && waiting.relayed.is_empty() {
+    let pending = shared.outbox.take();
+    if pending.remote.is_empty() && pending.relayed.is_empty() {
         return;
     }
     let now = shared.now();
@@ -95,9 +95,9 @@
     let local = domain_peers(shared, &state);
     let relays = remote_relays(shared, &state, now);
     drop(state);
-    send_changes(shared, waiting.local, &local);
-    send_changes(shared, waiting.remote, &relays);
-    send_changes(shared, waiting.relayed, &local);
+    send_changes(shared, pending.local, &local);
+    send_changes(shared, pending.remote, &relays);
+    send_changes(shared, pending.relayed, &local);
 }
 
 fn send_changes(shared: &Shared, changes: Vec<Change>, to: &[IpAddr]) {
--- a/crates/ploverwick_gateway/src/controllers/endpoint_list.rs
+++ b/crates/ploverwick_gateway/src/controllers/endpoint_list.rs
@@ -20,8 +20,8 @@
 /// once. A departure must be noticed well within the drain time.
 const READ_INTERVAL: Duration = Duration::from_millis(850);
 
-/// The number of records to read before the snapshot, for each endpoint in it. They distinguish a
-/// heartbeat that arrives after its endpoint has left from a new one. Each endpoint writes one record about every 1.2 s.
+/// The number of records to read before the snapshot, for each endpoint in it. They distinguish a heartbeat
+/// that arrives after its endpoint has left from a new one. Each endpoint writes one record about every 1.2 s.
 const HISTORY_PER_ENDPOINT: u64 = 4;
 
 #[derive(Debug)]
--- a/crates/ploverwick_gateway/src/controllers/freshness.rs
+++ b/crates/ploverwick_gateway/src/controllers/freshness.rs
@@ -13,7 +13,7 @@
 use ploverwick_topics::freshness::{Action, Proof};
 use ploverwick_topics::{Position, Reading};
 
-use crate::messages::{Message, QueryId};
+use crate::messages::{CorrelationId, Message};
 use crate::metrics;
 use crate::shared::Shared;
 use crate::state::{PEER_TIMEOUT, State};
@@ -73,10 +73,10 @@
     state.freshness.record_ask(now);
     let to = readers(shared, &state, of_all_domains, now);
     drop(state);
-    let query_id = shared.query_id(now);
+    let correlation_id = shared.correlation_id(now);
     shared
         .peer_socket
-        .send(&Message::ProofRequest { query_id }, &to);
+        .send(&Message::ProofRequest { correlation_id }, &to);
 }
 
 /// Returns peers that read the operator's topic, highest rank first; only one if this failure domain alone is
@@ -130,14 +130,14 @@
 }
 
 /// Answers a peer's request for a proof.
-pub(crate) fn handle_proof_request(shared: &Shared, to: IpAddr, query_id: QueryId) {
+pub(crate) fn handle_proof_request(shared: &Shared, to: IpAddr, correlation_id: CorrelationId) {
     let now = shared.now();
     let Some(proof) = shared.state().freshness.proof() else {
         return;
     };
     let age = proof.age(now).as_millis();
     let answer = Message::Proof {
-        query_id,
+        correlation_id,
         end: proof.end,
         age_ms: u64::try_from(age).unwrap_or(u64::MAX),
     };
@@ -146,11 +146,16 @@
 
 /// Handles a peer's proof. The peer computed the age after it received the request, so the proof is no older
 /// than that age counted from when the request was sent.
-pub(crate) fn handle_proof(shared: &Shared, query_id: QueryId, end: Position, age: Duration) {
-    if !shared.is_own_query(query_id) {
+pub(crate) fn handle_proof(
+    shared: &Shared,
+    correlation_id: CorrelationId,
+    end: Position,
+    age: Duration,
+) {
+    if !shared.is_own_correlation_id(correlation_id) {
         return;
     }
-    let proof = Proof::with_age(end, query_id.sent_at, age);
+    let proof = Proof::with_age(end, correlation_id.sent_at, age);
     shared.state().freshness.add_proof(proof);
     shared.inboxes.of(Topic::Operator).observe_end(end);
 }
--- a/crates/ploverwick_gateway/src/controllers/load_requests.rs
+++ b/crates/ploverwick_gateway/src/controllers/load_requests.rs
@@ -16,7 +16,7 @@
     let placer = state.placer_of(domain, now);
     drop(state);
     if is_own {
-        handle_load_request(shared, copy, need);
+        handle_request(shared, copy, need);
         return true;
     }
     if let Some(ip) = placer {
@@ -26,7 +26,7 @@
 }
 
 /// Places an adapter that is needed, if this instance is the placer.
-pub(crate) fn handle_load_request(shared: &Arc<Shared>, copy: &Copy, need: Need) {
+pub(crate) fn handle_request(shared: &Arc<Shared>, copy: &Copy, need: Need) {
     let now = shared.now();
     let mut state = shared.state();
     if !state.placer_lease.is_held(now) {
@@ -90,6 +90,6 @@
     drop(endpoints);
     drop(state);
     if is_held_here {
-        handle_load_request(shared, copy, Need::Any);
+        handle_request(shared, copy, Need::Any);
     }
 }
--- a/crates/ploverwick_gateway/src/controllers/quotas.rs
+++ b/crates/ploverwick_gateway/src/controllers/quotas.rs
@@ -10,7 +10,7 @@
 use ploverwick_routes::Config;
 use tokio::time::Instant;
 
-use crate::messages::{Message, QueryId};
+use crate::messages::{CorrelationId, Message};
 use crate::metrics;
 use crate::shared::Shared;
 use crate::state::{InstanceListState, State};
@@ -97,7 +97,7 @@
 
 fn send_leases(shared: &Shared, ranking: &Ranking) {
     let now = shared.now();
-    let query_id = shared.query_id(now);
+    let correlation_id = shared.correlation_id(now);
     let own = IpAddr::from(shared.settings.ip);
     let leases = shared
         .state()
@@ -106,19 +106,31 @@
     for (to, lease) in leases {
         if to == own {
             let granted = process_lease(shared, own, &lease);
-            handle_grants(shared, own, query_id, &granted);
+            handle_grants(shared, own, correlation_id, &granted);
         } else {
-            shared
-                .peer_socket
-                .send(&Message::QuotaLease { query_id, lease }, &[to]);
+            shared.peer_socket.send(
+                &Message::QuotaLease {
+                    correlation_id,
+                    lease,
+                },
+                &[to],
+            );
         }
     }
 }
 
 /// Handles a lease from another instance, and answers its grant requests.
-pub(crate) fn handle_lease(shared: &Shared, from: IpAddr, query_id: QueryId, lease: &Lease) {
+pub(crate) fn handle_lease(
+    shared: &Shared,
+    from: IpAddr,
+    correlation_id: CorrelationId,
+    lease: &Lease,
+) {
     let grants = process_lease(shared, from, lease);
-    let answer = Message::QuotaGrants { query_id, grants };
+    let answer = Message::QuotaGrants {
+        correlation_id,
+        grants,
+    };
     shared.peer_socket.send(&answer, &[from]);
 }
 
@@ -152,15 +164,20 @@
 }
 
 /// Handles the grants of a pool.
-pub(crate) fn handle_grants(shared: &Shared, from: IpAddr, query_id: QueryId, grants: &[Grant]) {
-    if !shared.is_own_query(query_id) {
+pub(crate) fn handle_grants(
+    shared: &Shared,
+    from: IpAddr,
+    correlation_id: CorrelationId,
+    grants: &[Grant],
+) {
+    if !shared.is_own_correlation_id(correlation_id) {
         return;
     }
     let now = shared.now();
     let mut state = shared.state();
     state
         .allocation
-        .handle_grants(from, query_id.sent_at, grants, now);
+        .handle_grants(from, correlation_id.sent_at, grants, now);
     let has_urgent = state.allocation.has_urgent();
     drop(state);
     shared.quota_decided.notify_waiters();
--- a/crates/ploverwick_gateway/src/daemon.rs
+++ b/crates/ploverwick_gateway/src/daemon.rs
@@ -147,7 +147,7 @@
     shared.stopping.send_replace(true);
     // The next process of this instance may send orders immediately, so a full lease must have passed since
     // the last order of this one.
-    let min_duration = MIN_STOP_DURATION.max(shared.settings.reacquire_delay);
+    let min_duration = MIN_STOP_DURATION.max(shared.settings.lease);
     let max_duration = shared.settings.grace.saturating_sub(KILL_MARGIN);
     let mut is_listed = true;
     loop {
--- a/crates/ploverwick_gateway/src/filters/forward.rs
+++ b/crates/ploverwick_gateway/src/filters/forward.rs
@@ -169,7 +169,7 @@
                     self.resume(&error.to_string()).await?;
                 }
                 Err(_) if deadline < self.request.deadline => {
-                    self.resume("the stream paused").await?
+                    self.resume("the stream paused").await?;
                 }
                 Err(_) => {
                     self.close_source(Outcome::Abandoned);
--- a/crates/ploverwick_gateway/src/filters/select.rs
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -75,7 +75,7 @@
     let mut load_requests = 0;
     loop {
         let changed = shared.placement_changed.notified();
-        let (choice, wanted) = select_holder(shared, request, key, except);
+        let (choice, newest) = select_holder(shared, request, key, except);
         match choice {
             Choice::Selected(target) => {
                 metrics::adapter_wait(started.elapsed());
@@ -95,7 +95,7 @@
         // Every load of any adapter wakes this task, so load requests are paced separately.
         let request_at = started + LOAD_REQUEST_INTERVAL * load_requests;
         if now >= request_at {
-            missing_adapter::request_load(shared, request, &wanted);
+            missing_adapter::request_load(shared, request, &newest);
             load_requests += 1;
         }
         tokio::select! {
@@ -242,16 +242,16 @@
     let now = shared.now();
     let state = shared.state();
     let version = state.directory.newest(key);
-    let wanted = Copy {
+    let newest = Copy {
         key: key.clone(),
         version,
     };
     let excluded = excluded_endpoints(&state, except, now);
     let query = query(shared, &state, request, &excluded);
-    let mut held = wanted.clone();
+    let mut held = newest.clone();
     let mut best = cheapest_holder(&state, &query, &held, now);
     if best.is_none()
-        && let Some(older) = usable_older_version(shared, &state, &wanted, now)
+        && let Some(older) = usable_older_version(shared, &state, &newest, now)
     {
         held.version = older;
         best = cheapest_holder(&state, &query, &held, now);
@@ -259,7 +259,7 @@
     }
     let Some((cost, id)) = best else {
         let choice = min_send_wait(&state, request, now).map_or(Choice::Wait, Choice::Limited);
-        return (choice, wanted);
+        return (choice, newest);
     };
     let entry = state.fleet.entry(&id).expect("it was ranked").clone();
     let fill = state.fleet.fill(&id, now).unwrap_or(0.0);
@@ -271,16 +271,16 @@
         .expected_wait(&id, prompt, now)
         .unwrap_or_default();
     let is_busy = fill > BUSY_FILL || queue_wait > request.route.objective.mul_f64(MAX_QUEUE_RATIO);
-    let is_older = held.version != wanted.version;
+    let is_older = held.version != newest.version;
     let replaced_since = state.directory.replaced_since(&held);
     let start_deadline = staleness_policy(shared).start_deadline(replaced_since, now);
     drop(state);
     if is_older || is_busy {
         let need = if is_older { Need::Any } else { Need::Another };
-        load_requests::request_load(shared, &shared.settings.domain, &wanted, need);
+        load_requests::request_load(shared, &shared.settings.domain, &newest, need);
     }
     if fill >= max_fill(request) {
-        return (Choice::Full, wanted);
+        return (Choice::Full, newest);
     }
     let target = Target {
         entry,
@@ -291,7 +291,7 @@
         load,
         expected_wait,
     };
-    (Choice::Selected(Box::new(target)), wanted)
+    (Choice::Selected(Box::new(target)), newest)
 }
 
 /// Returns the endpoint with the lowest cost among those that hold a copy.
--- a/crates/ploverwick_gateway/src/filters/send.rs
+++ b/crates/ploverwick_gateway/src/filters/send.rs
@@ -73,7 +73,8 @@
 
 /// Sends a request to its target.
 ///
-/// `answer_deadline` bounds the wait for the head of the answer. `after_event` is the event after which a stream resumes.
+/// `answer_deadline` bounds the wait for the head of the answer. `after_event` is the event after which a stream
+/// resumes.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     request: &AdmittedRequest,
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -73,7 +73,7 @@
         Message::LoadTotals(loads) => handle_totals(shared, loads),
         Message::AdapterUses(list) => handle_uses(shared, &list, from),
         Message::LoadRequest { copy, need } => {
-            load_requests::handle_load_request(shared, &copy, need)
+            load_requests::handle_request(shared, &copy, need);
         }
         Message::EndpointReport { endpoint, adapters } => {
             let copies = messages::copies(adapters);
@@ -85,7 +85,7 @@
         }
         Message::EndpointDigests(digests) => handle_digests(shared, &digests, from),
         Message::EndpointReportRequest(endpoints) => {
-            broadcast::send_reports(shared, from, &endpoints)
+            broadcast::send_reports(shared, from, &endpoints);
         }
         Message::Changes(changes) => handle_changes(shared, changes),
         Message::EndpointListUpdate {
@@ -95,19 +95,25 @@
         } => endpoint_list::handle_peer_update(shared, changed, &removed, digest),
         Message::Records(batch) => shared.inboxes.of(batch.topic).push(batch),
         Message::TopicEnd { topic, end } => shared.inboxes.of(topic).observe_end(end),
-        Message::ProofRequest { query_id } => {
-            freshness::handle_proof_request(shared, from, query_id)
+        Message::ProofRequest { correlation_id } => {
+            freshness::handle_proof_request(shared, from, correlation_id);
         }
         Message::Proof {
-            query_id,
+            correlation_id,
             end,
             age_ms,
-        } => freshness::handle_proof(shared, query_id, end, Duration::from_millis(age_ms)),
-        Message::QuotaLease { query_id, lease } => {
-            quotas::handle_lease(shared, from, query_id, &lease);
+        } => freshness::handle_proof(shared, correlation_id, end, Duration::from_millis(age_ms)),
+        Message::QuotaLease {
+            correlation_id,
+            lease,
+        } => {
+            quotas::handle_lease(shared, from, correlation_id, &lease);
         }
-        Message::QuotaGrants { query_id, grants } => {
-            quotas::handle_grants(shared, from, query_id, &grants);
+        Message::QuotaGrants {
+            correlation_id,
+            grants,
+        } => {
+            quotas::handle_grants(shared, from, correlation_id, &grants);
         }
         Message::BaseLoad => shared.state().base_load_limiter.record_load(now),
         Message::LeaseReleased => shared.lease_released.notify_one(),
--- a/crates/ploverwick_gateway/src/messages.rs
+++ b/crates/ploverwick_gateway/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between instances: single datagrams, encoded with postcard.
 //!
 //! A lost message does no harm: loads are sent periodically, digests reveal differences in the adapters that
-//! endpoints hold, and queries are retried.
+//! endpoints hold, and requests are retried.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -89,9 +89,9 @@
     pub(crate) kind: ChangeKind,
 }
 
-/// Identifies a query; a reply echoes it, so that the sender of the query knows when it was sent.
+/// Matches a reply to its request: the reply echoes it, so that the requester knows when it sent the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct QueryId {
+pub(crate) struct CorrelationId {
     /// A random number of the process, because moments of an earlier process mean nothing to the next.
     pub(crate) process: u64,
     /// When it was sent, by the sender's clock.
@@ -143,18 +143,21 @@
     /// How far the sender has read a topic of the store whose last record is too long for a message.
     TopicEnd { topic: Topic, end: Position },
     /// Requests a proof of the configuration's age.
-    ProofRequest { query_id: QueryId },
+    ProofRequest { correlation_id: CorrelationId },
     /// Answers `ProofRequest`: `age_ms` ago, the operator's topic held no records at or after `end`.
     Proof {
-        query_id: QueryId,
+        correlation_id: CorrelationId,
         end: Position,
         age_ms: u64,
     },
     /// Leases the sender's shares of all quotas to the receiver's pool, and requests what its own requests need.
-    QuotaLease { query_id: QueryId, lease: Lease },
+    QuotaLease {
+        correlation_id: CorrelationId,
+        lease: Lease,
+    },
     /// Answers `QuotaLease` with the grants of the sender's pool.
     QuotaGrants {
-        query_id: QueryId,
+        correlation_id: CorrelationId,
         grants: Vec<Grant>,
     },
     /// The sender is having a base model loaded at an endpoint of its failure domain.
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::logging::LogLimiter;
-use crate::messages::{PeerSocket, QueryId};
+use crate::messages::{CorrelationId, PeerSocket};
 use crate::metrics;
 use crate::outbox::Outbox;
 use crate::pool::Pool;
@@ -77,7 +77,7 @@
     pub(crate) quota_decided: Notify,
     /// Whether the process has been asked to stop.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Distinguishes queries of this process from those of an earlier one at the same address.
+    /// Distinguishes requests of this process from those of an earlier one at the same address.
     process_nonce: u64,
     state: Mutex<State>,
 }
@@ -87,10 +87,10 @@
         let clock = Clock::start();
         let lease_policy = LeasePolicy {
             duration: PLACER_LEASE_DURATION.max(settings.shortest_ttl),
-            reacquire_delay: settings.reacquire_delay,
+            reacquire_delay: settings.lease,
             fenced: settings.fenced,
             extension: LEASE_EXTENSION,
-            min_stable: settings.min_stable,
+            min_stable: settings.calm,
         };
         let state = State::new(&settings, lease_policy, clock.now());
         Self {
@@ -127,17 +127,17 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Creates the identifier of a query that is sent now.
-    pub(crate) fn query_id(&self, now: Moment) -> QueryId {
-        QueryId {
+    /// Creates the correlation ID of a request to a peer that is sent now.
+    pub(crate) fn correlation_id(&self, now: Moment) -> CorrelationId {
+        CorrelationId {
             process: self.process_nonce,
             sent_at: now,
         }
     }
 
-    /// Returns whether this process sent a query.
-    pub(crate) fn is_own_query(&self, query_id: QueryId) -> bool {
-        query_id.process == self.process_nonce && query_id.sent_at <= self.now()
+    /// Returns whether this process created a correlation ID.
+    pub(crate) fn is_own_correlation_id(&self, correlation_id: CorrelationId) -> bool {
+        correlation_id.process == self.process_nonce && correlation_id.sent_at <= self.now()
     }
 
     /// Returns whether the process has been asked to stop.
@@ -267,9 +267,9 @@
     /// Returns the limit on retries.
     fn retry_policy(&self) -> RetryPolicy {
         RetryPolicy {
-            ratio: self.settings.retry_ratio,
-            allowance: self.settings.retry_allowance,
-            window: self.settings.retry_window,
+            ratio: self.settings.repeat_ratio,
+            allowance: self.settings.repeat_allowance,
+            window: self.settings.repeat_window,
         }
     }
 }
--- a/crates/ploverwick_gateway/tests/base_model_loads.rs
+++ b/crates/ploverwick_gateway/tests/base_model_loads.rs
@@ -27,7 +27,7 @@
     }
     store.configure(&settings::config(1));
     let gateway = Gateway::with_settings(store, |settings| {
-        settings.min_stable = settings.reacquire_delay;
+        settings.calm = settings.lease;
         settings.load_window = Duration::from_mins(10);
         change(settings);
     })
@@ -55,7 +55,7 @@
 
 #[tokio::test]
 async fn loads_after_window() -> Result<()> {
-    let (_world, empty) = start(|settings| {
+    let (_gateway, empty) = start(|settings| {
         settings.first_start = false;
         settings.load_window = Duration::from_millis(300);
     })
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn first_start_loads() -> Result<()> {
-    let (_world, empty) = start(|_| {}).await?;
+    let (_gateway, empty) = start(|_| {}).await?;
     wait_until_ordered(&empty).await;
     Ok(())
 }
--- a/crates/ploverwick_gateway/tests/common/mod.rs
+++ b/crates/ploverwick_gateway/tests/common/mod.rs
@@ -66,7 +66,7 @@
     /// Like `with_endpoints`, where each request earns `retry_ratio` retries. A process that has just started has no
     /// other retries.
     pub async fn with_retry_ratio(endpoints: &[&Endpoint], retry_ratio: f64) -> Result<Self> {
-        Self::configured(endpoints, |settings| settings.retry_ratio = retry_ratio).await
+        Self::configured(endpoints, |settings| settings.repeat_ratio = retry_ratio).await
     }
 
     async fn configured(
--- a/crates/ploverwick_gateway/tests/placer_restart.rs
+++ b/crates/ploverwick_gateway/tests/placer_restart.rs
@@ -1,5 +1,5 @@
-//! A restarted placer resumes immediately if no other instance was the placer meanwhile, or if the leases of its earlier
-//! process do not count as alternating.
+//! A restarted placer resumes immediately if no other instance was the placer meanwhile, or if the leases of its
+//! earlier process do not count as alternating.
 
 mod common;
 
@@ -76,7 +76,7 @@
 
 #[tokio::test]
 async fn resumes_if_leases_do_not_count() -> Result<()> {
-    let min_stable = |settings: &mut Settings| settings.min_stable = settings.reacquire_delay;
+    let min_stable = |settings: &mut Settings| settings.calm = settings.lease;
     let (gateway, _engine) = restart_with(Some(7), min_stable).await?;
     let got = gateway.stream("r1", "/live/", "a1").await?;
     assert_that!(got.status, eq(StatusCode::OK));
--- a/crates/ploverwick_gateway/tests/restored_store.rs
+++ b/crates/ploverwick_gateway/tests/restored_store.rs
@@ -1,4 +1,4 @@
-//! The store is restored from a copy that lacks its newest records and assigns their offsets again.
+//! The store is restored from a backup that lacks its newest records and assigns their offsets again.
 
 mod common;
 
@@ -26,7 +26,7 @@
 const IN_FORCE: Duration = Duration::from_secs(2);
 /// How long the store is unavailable during a restore.
 const OUTAGE_DURATION: Duration = Duration::from_millis(300);
-/// The number of records that the copy lacks.
+/// The number of records that the backup lacks.
 const LOST_RECORDS: usize = 4;
 
 fn with_route(version: u64, path: &str) -> serde_json::Value {
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-/// Guards against endpoints that are considered gone because the copy lacks their entries.
+/// Guards against endpoints that are considered removed because the backup lacks their entries.
 #[tokio::test]
 async fn missing_endpoints_are_awaited() -> Result<()> {
     let (a, b) = two_app_endpoints().await?;
@@ -176,7 +176,7 @@
     Ok(())
 }
 
-/// Guards against running instances that stay unlisted because the copy lacks their entries.
+/// Guards against running instances that stay unlisted because the backup lacks their entries.
 #[tokio::test]
 async fn instances_are_listed_again() -> Result<()> {
     let (store, _endpoint, _instances) = start_domain().await?;
@@ -236,7 +236,7 @@
 }
 
 /// Guards against an operators' table that reverts to an older one, or that instances cannot read when they start,
-/// because the copy lacks the newest one.
+/// because the backup lacks the newest one.
 #[tokio::test]
 async fn table_stays() -> Result<()> {
     let engine = Endpoint::start("i-a", "lm", Some("base"), "d1").await?;
--- a/crates/ploverwick_gateway/tests/suspended_machine.rs
+++ b/crates/ploverwick_gateway/tests/suspended_machine.rs
@@ -12,7 +12,6 @@
 static SUSPENDED_MS: AtomicU64 = AtomicU64::new(0);
 
 /// A clock that includes the time of suspension.
-
 fn boot_time() -> Duration {
     static START: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
     let start = START.get_or_init(Instant::now);
--- a/crates/ploverwick_gateway/tests/topic_readers.rs
+++ b/crates/ploverwick_gateway/tests/topic_readers.rs
@@ -1,4 +1,4 @@
-//! In a failure domain with many instances, a few read the store's topics and forward records to the others. All
+//! In a failure domain with many instances, a few read the store's topics and relay records to the others. All
 //! instances must get all records, including those that are too long for a message, also after the readers stop.
 
 mod common;
@@ -80,7 +80,7 @@
 async fn all_instances_get_records() -> Result<()> {
     let (store, _endpoint, instances) = start_domain().await?;
     let before = store.calls();
-    // The first configuration is forwarded in several datagrams; the second one is too long for that.
+    // The first configuration is relayed in several datagrams; the second one is too long for that.
     store.configure(&with_route(2, "/second/", 0));
     let served = wait_until_served(&instances, "/second/");
     tokio::time::timeout(IN_FORCE * 4, served).await??;
@@ -163,7 +163,7 @@
 }
 
 /// Guards against each instance reading whole topics from the store when all restart at once, as after a power loss:
-/// they are listed, but no instance has the topics. The first ones must read them and forward them to the others.
+/// they are listed, but no instance has the topics. The first ones must read them and relay them to the others.
 #[tokio::test]
 async fn all_instances_restart() -> Result<()> {
     let store = Store::start().await?;
--- a/crates/ploverwick_quota/src/pool.rs
+++ b/crates/ploverwick_quota/src/pool.rs
@@ -58,9 +58,9 @@
 
 /// Pools the shares that instances lease to this one, and grants units from them.
 ///
-/// In any window of time a pool grants no more than the share of the quota that was leased to it over that
-/// window. That alone is not enough if pools fail. After a time without requests a pool could grant a whole window's worth
-/// within half a window and fail, and the next window would hold those units and the grants of its successors.
+/// In any window of time a pool grants no more than the share of the quota that was leased to it over that window. That
+/// alone is not enough if pools fail. After a time without requests a pool could grant a whole window's worth within
+/// half a window and fail, and the next window would hold those units and the grants of its successors.
 ///
 /// Two further limits prevent this. Over any time, a pool grants no more than [`MAX_LEAD_SECS`] seconds' worth
 /// beyond the sustained rate. A new pool, which has no past leases to draw on, grants no more than the sustained
--- a/crates/ploverwick_quota/src/retry_after.rs
+++ b/crates/ploverwick_quota/src/retry_after.rs
@@ -1,4 +1,4 @@
-//! The retry delay that a refused request is given.
+//! The retry delay of a refused request.
 
 use std::time::Duration;
 
--- a/crates/ploverwick_quota/tests/pool_failure.rs
+++ b/crates/ploverwick_quota/tests/pool_failure.rs
@@ -1,8 +1,8 @@
 //! The pool fails shortly after the start of a burst of one organisation.
 //!
 //! Guards against usage over the limit: an organisation used up to a fifth more in eight seconds than its quota, the
-//! allowed tenth and the slack permit. After a time without requests the pool granted a whole window's worth within four seconds
-//! and failed, and the next pool, which did not know of these grants, granted units again. The same burst
+//! allowed tenth and the slack permit. After a time without requests the pool granted a whole window's worth within
+//! four seconds and failed, and the next pool, which did not know of these grants, granted units again. The same burst
 //! without a failure stays within the limit.
 
 mod fleet;
@@ -26,7 +26,8 @@
     Freeze,
 }
 
-/// Returns a fleet in which an organisation with a quota of `tokens` per second has sent no requests and starts a burst.
+/// Returns a fleet in which an organisation with a quota of `tokens` per second has sent no requests and starts a
+/// burst.
 fn burst(size: usize, tokens: f64, sharing: Sharing, seed: u64) -> Fleet {
     let organisations = vec![Organisation::new("one", tokens, 0.1)];
     let mut fleet = Fleet::new(size, organisations, sharing, seed);
--- a/crates/ploverwick_topics/src/position.rs
+++ b/crates/ploverwick_topics/src/position.rs
@@ -1,10 +1,10 @@
-//! Positions in the topics of a store that may be restored from an older copy.
+//! Positions in the topics of a store that may be restored from an older backup.
 
 use serde::{Deserialize, Serialize};
 
 /// An offset in a topic, qualified by the era of the store that assigned it.
 ///
-/// A store that is restored from a copy assigns offsets again, so an offset alone may identify different
+/// A store that is restored from a backup assigns offsets again, so an offset alone may identify different
 /// records before and after the restore. Positions are ordered by era first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Position {
--- a/crates/ploverwick_topics/src/subscription.rs
+++ b/crates/ploverwick_topics/src/subscription.rs
@@ -6,9 +6,9 @@
 
 use crate::{Position, Role};
 
-/// How long a reader waits after its process starts before the first long poll. By then it has received messages
-/// from its peers, and usually finds that others read for it. When all instances start at once, this saves one
-/// call per instance.
+/// How long a reader waits after its process starts before the first long poll. By then it has received
+/// messages from its peers, and usually finds that others read for it. When all instances start at once, this
+/// saves one call per instance.
 const STARTUP_WAIT: Duration = Duration::from_secs(1);
 /// The minimum delay before an instance reads records that a peer reported but that did not arrive, because
 /// a datagram was lost or the record is too long for one. Records in quick succession are then read in one
@@ -166,8 +166,8 @@
         self.next = None;
     }
 
-    /// Records the receipt of the records from `from` up to but excluding `next` from a peer. They become known if they
-    /// continue the known records.
+    /// Records the receipt of the records from `from` up to but excluding `next` from a peer. They become
+    /// known if they continue the known records.
     pub fn receive(&mut self, from: Position, next: Position, now: Moment) -> Fit {
         match self.next {
             Some(known) if next <= known => Fit::Known,
--- a/crates/ploverwick_topics/tests/revocation_histories.rs
+++ b/crates/ploverwick_topics/tests/revocation_histories.rs
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A question arrives at an instance.
+    /// A request for a proof arrives at an instance.
     Asked {
         to: usize,
         from: usize,
--- a/crates/ploverwick_topics/tests/subscription_histories.rs
+++ b/crates/ploverwick_topics/tests/subscription_histories.rs
@@ -362,7 +362,7 @@
         }
     }
 
-    /// Restores the store from a copy that lacks the newest one to four records.
+    /// Restores the store from a backup that lacks the newest one to four records.
     fn restore(&mut self) {
         let lost = self.random.random_range(1..=4);
         let kept = self.records.len().saturating_sub(lost);
