--- a/crates/ploverwick_adapters/src/lease.rs
+++ b/crates/ploverwick_adapters/src/lease.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub struct Lease {
     policy: LeasePolicy,
-    held: Option<Holding>,
+    held: Option<HeldLease>,
     /// The last time at which this instance may have sent an order.
     last_held: Option<Moment>,
     fenced_token: Option<u64>,
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Holding {
+struct HeldLease {
     token: u64,
     expires: Moment,
     usable_from: Moment,
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Applies the platform's answer to a request sent at `asked`.
-    pub fn handle_grant(&mut self, grant: Grant, asked: Moment, now: Moment) {
+    /// Applies the platform's answer to a request sent at `requested_at`.
+    pub fn handle_grant(&mut self, grant: Grant, requested_at: Moment, now: Moment) {
         let Grant::Held(token) = grant else {
             self.release(now);
             return;
@@ -109,11 +109,11 @@
         {
             return;
         }
-        let expires = asked + self.policy.duration;
+        let expires = requested_at + self.policy.duration;
         let usable_from = match self.held {
             // If the lease lapsed in between, another instance may have held it, unless the token
             // is the same.
-            Some(held) if held.expires >= asked || held.token == token => held.usable_from,
+            Some(held) if held.expires >= requested_at || held.token == token => held.usable_from,
             Some(_) => {
                 self.release(now);
                 self.wait_until(now)
@@ -126,7 +126,7 @@
         // The token only rises while the lease is held; a lower one comes from an answer that
         // arrived out of order.
         let token = self.held.map_or(token, |held| held.token.max(token));
-        self.held = Some(Holding {
+        self.held = Some(HeldLease {
             token,
             expires,
             usable_from,
@@ -161,7 +161,7 @@
         self.held.is_some_and(|held| now < self.expiry(held))
     }
 
-    fn expiry(&self, held: Holding) -> Moment {
+    fn expiry(&self, held: HeldLease) -> Moment {
         if self.policy.fenced {
             held.expires + self.policy.extension
         } else {
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/load_requests.rs
@@ -1,4 +1,4 @@
-//! Handles requests for adapters, and places the adapters if this instance is the placer.
+//! Handles requests to load adapters, and places the adapters if this instance is the placer.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use crate::broadcast;
 use crate::shared::Shared;
 
-/// Requests an adapter at the endpoints of a failure domain. Returns whether the domain has a placer to ask.
-pub(crate) fn request_adapter(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
+/// Requests the load of an adapter in a failure domain. Returns whether the domain has a placer to ask.
+pub(crate) fn request_load(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
     let now = shared.now();
     let state = shared.state();
     let is_own = *domain == *shared.settings.domain && state.placer_lease.is_held(now);
@@ -20,7 +20,7 @@
         return true;
     }
     if let Some(ip) = placer {
-        broadcast::send_need(shared, ip, copy, need);
+        broadcast::send_load_request(shared, ip, copy, need);
     }
     placer.is_some()
 }
--- a/crates/ploverwick_gateway/src/filters/select.rs
+++ b/crates/ploverwick_gateway/src/filters/select.rs
@@ -13,7 +13,7 @@
 use super::admitted_request::AdmittedRequest;
 use super::missing_adapter;
 use super::reply::Reply;
-use crate::controllers::demand;
+use crate::controllers::load_requests;
 use crate::metrics;
 use crate::shared::Shared;
 use crate::state::State;
@@ -32,7 +32,7 @@
 /// would still meet its objective, and another copy takes a slot from another adapter.
 const MAX_QUEUE_RATIO: f64 = 1.5;
 /// The fill of the best endpoint that holds an adapter above which the adapter is loaded at another one too.
-const CROWDED_FILL: f64 = 0.85;
+const BUSY_FILL: f64 = 0.85;
 /// How often the load of an adapter is requested again while a request waits for it, as messages may be lost.
 const LOAD_REQUEST_INTERVAL: Duration = Duration::from_millis(70);
 /// The maximum `Retry-After` if no endpoint accepts requests from this instance. Other instances may still be able
@@ -75,7 +75,7 @@
     let mut load_requests = 0;
     loop {
         let changed = shared.placement_changed.notified();
-        let (choice, wanted) = select_holder(shared, request, key, except);
+        let (choice, newest) = select_holder(shared, request, key, except);
         match choice {
             Choice::Selected(target) => {
                 metrics::adapter_wait(started.elapsed());
@@ -95,7 +95,7 @@
         // Every load of any adapter wakes this task, so load requests are paced separately.
         let request_at = started + LOAD_REQUEST_INTERVAL * load_requests;
         if now >= request_at {
-            missing_adapter::request_load(shared, request, &wanted);
+            missing_adapter::request_load(shared, request, &newest);
             load_requests += 1;
         }
         tokio::select! {
@@ -232,7 +232,7 @@
 }
 
 /// Selects an endpoint that holds the adapter, from the current state. If only an older version is held or the
-/// endpoint is crowded, requests a load of the newest version as well.
+/// endpoint is busy, requests a load of the newest version as well.
 fn select_holder(
     shared: &Arc<Shared>,
     request: &AdmittedRequest,
@@ -242,16 +242,16 @@
     let now = shared.now();
     let state = shared.state();
     let version = state.directory.newest(key);
-    let wanted = Copy {
+    let newest = Copy {
         key: key.clone(),
         version,
     };
     let excluded = excluded_endpoints(&state, except, now);
     let query = query(shared, &state, request, &excluded);
-    let mut held = wanted.clone();
+    let mut held = newest.clone();
     let mut best = cheapest_holder(&state, &query, &held, now);
     if best.is_none()
-        && let Some(older) = usable_older_version(shared, &state, &wanted, now)
+        && let Some(older) = usable_older_version(shared, &state, &newest, now)
     {
         held.version = older;
         best = cheapest_holder(&state, &query, &held, now);
@@ -259,7 +259,7 @@
     }
     let Some((cost, id)) = best else {
         let choice = min_send_wait(&state, request, now).map_or(Choice::Wait, Choice::Limited);
-        return (choice, wanted);
+        return (choice, newest);
     };
     let entry = state.fleet.entry(&id).expect("it was ranked").clone();
     let fill = state.fleet.fill(&id, now).unwrap_or(0.0);
@@ -270,18 +270,17 @@
         .fleet
         .expected_wait(&id, prompt, now)
         .unwrap_or_default();
-    let is_crowded =
-        fill > CROWDED_FILL || queue_wait > request.route.objective.mul_f64(MAX_QUEUE_RATIO);
-    let is_older = held.version != wanted.version;
+    let is_busy = fill > BUSY_FILL || queue_wait > request.route.objective.mul_f64(MAX_QUEUE_RATIO);
+    let is_older = held.version != newest.version;
     let replaced_since = state.directory.replaced_since(&held);
     let start_deadline = staleness_policy(shared).start_deadline(replaced_since, now);
     drop(state);
-    if is_older || is_crowded {
+    if is_older || is_busy {
         let need = if is_older { Need::Any } else { Need::Another };
-        demand::request_adapter(shared, &shared.settings.domain, &wanted, need);
+        load_requests::request_load(shared, &shared.settings.domain, &newest, need);
     }
     if fill >= max_fill(request) {
-        return (Choice::Full, wanted);
+        return (Choice::Full, newest);
     }
     let target = Target {
         entry,
@@ -292,7 +291,7 @@
         load,
         expected_wait,
     };
-    (Choice::Selected(Box::new(target)), wanted)
+    (Choice::Selected(Box::new(target)), newest)
 }
 
 /// Returns the endpoint with the lowest cost among those that hold a copy.
--- a/crates/ploverwick_gateway/src/shared.rs
+++ b/crates/ploverwick_gateway/src/shared.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::logging::LogLimiter;
-use crate::messages::{PeerSocket, QueryId};
+use crate::messages::{CorrelationId, PeerSocket};
 use crate::metrics;
 use crate::outbox::Outbox;
 use crate::pool::Pool;
@@ -77,7 +77,7 @@
     pub(crate) quota_decided: Notify,
     /// Whether the process has been asked to stop.
     pub(crate) stopping: watch::Sender<bool>,
-    /// Distinguishes queries of this process from those of an earlier one at the same address.
+    /// Distinguishes requests of this process from those of an earlier one at the same address.
     process_nonce: u64,
     state: Mutex<State>,
 }
@@ -127,17 +127,17 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Creates the identifier of a query that is sent now.
-    pub(crate) fn query_id(&self, now: Moment) -> QueryId {
-        QueryId {
+    /// Creates the correlation ID of a request to a peer that is sent now.
+    pub(crate) fn correlation_id(&self, now: Moment) -> CorrelationId {
+        CorrelationId {
             process: self.process_nonce,
             sent_at: now,
         }
     }
 
-    /// Returns whether this process sent a query.
-    pub(crate) fn is_own_query(&self, query_id: QueryId) -> bool {
-        query_id.process == self.process_nonce && query_id.sent_at <= self.now()
+    /// Returns whether this process created a correlation ID.
+    pub(crate) fn is_own_correlation_id(&self, correlation_id: CorrelationId) -> bool {
+        correlation_id.process == self.process_nonce && correlation_id.sent_at <= self.now()
     }
 
     /// Returns whether the process has been asked to stop.
@@ -149,7 +149,7 @@
     pub(crate) fn is_ready(&self) -> bool {
         let can_accept = self.is_accepting.load(Ordering::Relaxed);
         let state = self.state();
-        let is_loaded = state.config.is_some() && state.has_roster && state.has_table;
+        let is_loaded = state.config.is_some() && state.has_endpoint_list && state.has_table;
         let is_fresh = self.is_fresher_than(&state, READY_AGE_SHARE);
         let has_quotas = state
             .config
--- a/crates/ploverwick_gateway/tests/base_model_loads.rs
+++ b/crates/ploverwick_gateway/tests/base_model_loads.rs
@@ -55,7 +55,7 @@
 
 #[tokio::test]
 async fn loads_after_window() -> Result<()> {
-    let (_world, empty) = start(|settings| {
+    let (_gateway, empty) = start(|settings| {
         settings.first_start = false;
         settings.load_window = Duration::from_millis(300);
     })
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn first_start_loads() -> Result<()> {
-    let (_world, empty) = start(|_| {}).await?;
+    let (_gateway, empty) = start(|_| {}).await?;
     wait_until_ordered(&empty).await;
     Ok(())
 }
