--- a/crates/ploverwick_adapters/src/placer.rs
+++ b/crates/ploverwick_adapters/src/placer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Moment;
-use ploverwick_placement::{Candidate, even, rank, score};
+use ploverwick_placement::{Candidate, equally_weighted, rank, score};
 use serde::{Deserialize, Serialize};
 
 use crate::{Answer, Copy, Event, Order, Slots, Window};
@@ -185,7 +185,7 @@
             |target: &&Target| slots_of(target).has_base(&copy.key.model) && !has_it(target);
         let targets: Vec<&Target> = targets.iter().filter(known).filter(can_load).collect();
         let names = targets.iter().map(|target| &*target.endpoint);
-        let preferred = rank(&key, &even(names), PREFERRED_ENDPOINTS);
+        let preferred = rank(&key, &equally_weighted(names), PREFERRED_ENDPOINTS);
         let best = targets
             .iter()
             .enumerate()
--- a/crates/ploverwick_adapters/src/slots/answers.rs
+++ b/crates/ploverwick_adapters/src/slots/answers.rs
@@ -15,8 +15,8 @@
 const SECOND_POLL_DELAY: Duration = Duration::from_millis(236);
 /// How often the load of a base model, which takes hundreds of milliseconds, is polled.
 const BASE_POLL_INTERVAL: Duration = Duration::from_millis(80);
-/// The number of refused unloads after which the number of accepted orders is assumed to be wrong,
-/// the other possible cause of a refusal besides an adapter in use.
+/// The number of consecutive refused unloads that are attributed to adapters in use. The next one is
+/// attributed to a wrong number of accepted orders, so a report is requested.
 const MAX_REFUSED_UNLOADS: u32 = 3;
 
 impl Slots {
@@ -76,9 +76,9 @@
         for model in &report.models {
             self.models.insert(Arc::clone(model), BaseState::Held);
         }
-        let mut before = std::mem::take(&mut self.by_copy);
+        let mut previous = std::mem::take(&mut self.by_copy);
         let mut slot = |copy: &Copy, state| {
-            let known = before.remove(copy);
+            let known = previous.remove(copy);
             let slot = known.map_or_else(|| Slot::new(state, now), |slot| Slot { state, ..slot });
             let may_be_unloading = true;
             (
@@ -179,7 +179,7 @@
                 let slot = self.by_copy.remove(&copy)?;
                 let was_held = slot.state == SlotState::Held;
                 if was_held {
-                    // An unload that had to wait raised the count when it was accepted.
+                    // An unload that had to wait was counted when it was accepted.
                     self.on_unloaded(slot.may_be_unloading, now);
                 }
                 was_held.then_some(Event::Unloaded(copy))
@@ -187,9 +187,9 @@
         }
     }
 
-    /// Updates the count after a successful unload. If the adapter may already have been unloading,
-    /// only the next report shows whether this unload was counted: with a number that is one too
-    /// high, an order could be carried out without a free slot.
+    /// Updates the number of accepted orders after a successful unload. If the adapter may already
+    /// have been unloading, only the next report shows whether the endpoint counted this unload:
+    /// with a number that is one too high, an order could be carried out without a free slot.
     fn on_unloaded(&mut self, may_be_unloading: bool, now: Moment) {
         self.refused_unloads = 0;
         if may_be_unloading {
@@ -281,7 +281,7 @@
             *poll_at = now + BASE_POLL_INTERVAL;
             return;
         }
-        // The adapter is probably in use: marks it as used so that another victim is chosen next.
+        // The adapter is probably in use: marks it as used so that another one is evicted next.
         if order.op == Op::Unload
             && self.refused_unloads < MAX_REFUSED_UNLOADS
             && let Some(slot) = self.slot_of(order)
@@ -311,7 +311,7 @@
         self.by_copy.remove(&copy);
     }
 
-    /// Counts an accepted order, which invalidates all orders for the previous number.
+    /// Increments the number of accepted orders, which invalidates all orders for the previous number.
     fn advance(&mut self) {
         self.refused_unloads = 0;
         self.orders = self.orders.map(|orders| orders + 1);
--- a/crates/ploverwick_daemon/src/daemon.rs
+++ b/crates/ploverwick_daemon/src/daemon.rs
@@ -105,7 +105,7 @@
         serve_peers(&node, peers, &mut tasks);
         let (stop_entry, stopped) = stop_channel();
         let bounds = Bounds {
-            connections: node.settings.limits.connections,
+            max_connections: node.settings.limits.connections,
             ..Bounds::default()
         };
         let entry = Arc::new(Entry {
--- a/crates/ploverwick_daemon/src/listing.rs
+++ b/crates/ploverwick_daemon/src/listing.rs
@@ -4,7 +4,7 @@
 
 use ploverwick_members::ListEntry;
 use ploverwick_names::{Endpoint, Instance};
-use ploverwick_placement::{choose, even};
+use ploverwick_placement::{choose, equally_weighted};
 use ploverwick_ports::roster::{EndpointEntry, Listing, Serves, State};
 
 /// Returns the endpoints of a base model that accept new work.
@@ -49,7 +49,7 @@
     listing: &Listing,
     eligible: &[Instance],
 ) -> BTreeMap<Endpoint, Instance> {
-    let candidates = even(eligible.iter().map(Instance::as_str));
+    let candidates = equally_weighted(eligible.iter().map(Instance::as_str));
     let models = listing
         .endpoints
         .iter()
@@ -64,7 +64,7 @@
 
 /// Chooses one of the instances for a task that any of them can perform, by the hash of `key`.
 pub(crate) fn choose_instance(key: &str, eligible: &[Instance]) -> Option<Instance> {
-    let candidates = even(eligible.iter().map(Instance::as_str));
+    let candidates = equally_weighted(eligible.iter().map(Instance::as_str));
     let index = choose(key, &candidates)?;
     eligible.get(index).cloned()
 }
--- a/crates/ploverwick_daemon/src/route.rs
+++ b/crates/ploverwick_daemon/src/route.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use ploverwick_names::{Endpoint, Life, Model, Variant};
-use ploverwick_placement::{even, rank};
+use ploverwick_placement::{equally_weighted, rank};
 use ploverwick_ports::roster::EndpointEntry;
 
 use crate::listing;
@@ -26,7 +26,7 @@
 pub(crate) fn targets(node: &Node, model: &Model, variant: &Variant, count: usize) -> Vec<Target> {
     let listing = node.listing.borrow().clone();
     let entries: Vec<&EndpointEntry> = listing::serving(&listing, model.base.as_str()).collect();
-    let candidates = even(entries.iter().map(|entry| entry.name.as_str()));
+    let candidates = equally_weighted(entries.iter().map(|entry| entry.name.as_str()));
     let order = rank(&variant.to_string(), &candidates, candidates.len());
     order
         .into_iter()
--- a/crates/ploverwick_daemon/src/service.rs
+++ b/crates/ploverwick_daemon/src/service.rs
@@ -15,7 +15,7 @@
 use ploverwick_codes::attempt::{Attempt, Verdict};
 use ploverwick_codes::{Class, Code};
 use ploverwick_names::{Moment, Request as RequestName};
-use ploverwick_placement::{even, rank};
+use ploverwick_placement::{equally_weighted, rank};
 use ploverwick_ports::client::CallError;
 use ploverwick_ports::header;
 use ploverwick_ports::roster::EndpointEntry;
@@ -200,7 +200,7 @@
     lock(&node.retry_budget).deposit(node.settings.requests.retries_per_100);
     let listing = node.listing.borrow().clone();
     let entries: Vec<&EndpointEntry> = listing::service(&listing, &call.serves).collect();
-    let candidates = even(entries.iter().map(|entry| entry.name.as_str()));
+    let candidates = equally_weighted(entries.iter().map(|entry| entry.name.as_str()));
     let attempts = node.settings.requests.attempts as usize;
     let order = rank(call.request.as_str(), &candidates, attempts);
     let mut last = refuse(
--- a/crates/ploverwick_endpoints/src/lib.rs
+++ b/crates/ploverwick_endpoints/src/lib.rs
@@ -1,6 +1,6 @@
 //! Tracks the state of endpoints on one instance and selects an endpoint for each request.
 //!
-//! This crate performs no I/O and reads no clock: callers pass in the current time and exchange the
+//! This crate performs no I/O and reads no clock: callers pass in the current time and deliver the
 //! messages. An instance knows its own requests exactly, and those of its peers as of their last report.
 
 mod absences;
--- a/crates/ploverwick_endpoints/src/limit.rs
+++ b/crates/ploverwick_endpoints/src/limit.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ploverwick_names::Moment;
-use ploverwick_placement::{even, rank};
+use ploverwick_placement::{equally_weighted, rank};
 use serde::{Deserialize, Serialize};
 
 const MILLIREQUESTS_PER_REQUEST: f64 = 1_000.0;
@@ -84,7 +84,11 @@
     /// gets the same share again and has not spent any of it in advance.
     pub fn of(limit: Limit, endpoint: &str, own: &str, instances: &[&str]) -> Self {
         let senders = limit.senders().min(instances.len());
-        let ranked = rank(endpoint, &even(instances.iter().copied()), instances.len());
+        let ranked = rank(
+            endpoint,
+            &equally_weighted(instances.iter().copied()),
+            instances.len(),
+        );
         let rank_index = ranked.iter().position(|index| instances[*index] == own);
         match rank_index {
             Some(rank_index) if rank_index < senders => Self::Sender {
--- a/crates/ploverwick_limits/src/lib.rs
+++ b/crates/ploverwick_limits/src/lib.rs
@@ -16,20 +16,23 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bucket {
     level: f64,
-    at: Moment,
+    refilled_at: Moment,
 }
 
 impl Bucket {
     /// Creates a bucket with `level` tokens.
     pub fn new(level: f64, now: Moment) -> Self {
-        Self { level, at: now }
+        Self {
+            level,
+            refilled_at: now,
+        }
     }
 
     /// Refills the bucket at `rate` tokens per second up to `now`, to at most `burst` tokens.
     pub fn refill(&mut self, rate: f64, burst: f64, now: Moment) {
-        let seconds = now.since(self.at).as_secs_f64();
+        let seconds = now.since(self.refilled_at).as_secs_f64();
         self.level = (self.level + seconds * rate).min(burst);
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     /// Returns the number of whole tokens.
@@ -83,8 +86,8 @@
 /// When to retry a request on an instance that does not know the sharers yet. An instance reads the list of
 /// instances within about 100 ms of its start, or within 1.6 s if it was not on the list.
 const SHARERS_UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The tokens in a new bucket on the first start of the system: the one request by which each instance may
-/// exceed a limit.
+/// The tokens in a new bucket on the first start of the system. They let each instance exceed a limit by one
+/// request.
 const FIRST_START_TOKENS: f64 = 1.0;
 
 /// A bucket and the time by which it is full if no more tokens are taken.
@@ -113,7 +116,7 @@
     /// Takes a token from this instance's share of a fleet-wide limit of `limit` requests per second.
     ///
     /// # Errors
-    /// Returns the time until the next token, or until the number of instances may be known.
+    /// Returns the time until the next token, or until the number of instances is expected to be known.
     pub fn take_shared(
         &mut self,
         subject: &Subject,
@@ -153,8 +156,8 @@
         let burst = rate.max(1.0);
         let level = self.initial_level(rate);
         let key = (subject.clone(), column.clone());
-        // A bucket fills from the time at which the other instances account for this one, even if it is first
-        // used later. Repeated restarts thus admit no more requests than one long-running process, and a
+        // A new bucket has been filling since the other instances began to account for this one, even if it is
+        // first used later. Repeated restarts thus admit no more requests than one long-running process, and a
         // process that has run for the fill time starts with a full bucket.
         let entry = self.entries.entry(key).or_insert_with(|| Entry {
             bucket: Bucket::new(level, since),
@@ -189,7 +192,7 @@
     }
 }
 
-/// Returns the time to fill an empty bucket, at most one day. A rate of zero counts as one day.
+/// Returns the time to fill an empty bucket, at most one day. For a rate of zero it is one day.
 fn fill_time(rate: f64) -> Duration {
     const DAY_S: f64 = 86_400.0;
     Duration::from_secs_f64((1.0 / rate.max(f64::MIN_POSITIVE)).clamp(1.0, DAY_S))
--- a/crates/ploverwick_names/src/name.rs
+++ b/crates/ploverwick_names/src/name.rs
@@ -23,11 +23,11 @@
     BadChar(char),
 }
 
-/// Checks the characters and the length of a name.
+/// Checks that a text has the length and the characters of a name.
 ///
 /// # Errors
 /// Returns the first rule that `text` breaks.
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
@@ -57,7 +57,7 @@
             /// # Errors
             /// Returns the rule that `text` breaks; see [`NameError`].
             pub fn new(text: &str) -> Result<Self, NameError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
 
--- a/crates/ploverwick_placement/src/lib.rs
+++ b/crates/ploverwick_placement/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! Every process that knows the same candidates makes the same choice without communication, and
 //! adding or removing a candidate moves only that candidate's share of the keys. The hash is 64-bit
-//! XXH3 and part of the protocol between daemons: changing it moves every key.
+//! XXH3 and part of the protocol between instances: changing it moves every key.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The hash seed, which makes these choices independent of other uses of XXH3.
 const SEED: u64 = 0x70_6c_6f_76_65_72;
 
-/// The number of distinct fractions that a hash is reduced to: the mantissa of an `f64`.
+/// The number of distinct fractions that a hash is reduced to: 2^53, the precision of an `f64`.
 const FRACTIONS: f64 = (1_u64 << 53) as f64;
 const FRACTION_SHIFT: u32 = 64 - 53;
 
@@ -18,12 +18,12 @@
 pub struct Candidate<'a> {
     /// The candidate's name.
     pub name: &'a str,
-    /// The candidate's share relative to the others; must be greater than 0.
+    /// The candidate's share of the keys relative to the others; must be greater than 0.
     pub weight: f64,
 }
 
-/// Creates candidates with equal shares.
-pub fn even<'a>(names: impl IntoIterator<Item = &'a str>) -> Vec<Candidate<'a>> {
+/// Creates candidates with equal weights.
+pub fn equally_weighted<'a>(names: impl IntoIterator<Item = &'a str>) -> Vec<Candidate<'a>> {
     let names = names.into_iter();
     names.map(|name| Candidate { name, weight: 1.0 }).collect()
 }
--- a/crates/ploverwick_quota/tests/pool_failure.rs
+++ b/crates/ploverwick_quota/tests/pool_failure.rs
@@ -1,9 +1,9 @@
 //! The pool fails shortly after the start of a burst of one organisation.
 //!
-//! Guards against usage over the limit: an organisation used up to a fifth more in eight seconds than its quota, the
-//! allowed tenth and the slack permit. After a quiet time the pool granted a whole window's worth within four seconds
-//! and failed, and the next pool, which did not know of these grants, granted units again. The same burst
-//! without a failure stays within the limit.
+//! Guards against usage over the limit, which is the quota plus an allowed excess of a tenth and a slack: an
+//! organisation used up to a fifth more than this limit in eight seconds. After an idle period the pool granted the
+//! units of a whole window within four seconds and failed. The next pool did not know of these grants and granted units
+//! again. The same burst without a failure stays within the limit.
 
 mod fleet;
 
@@ -26,7 +26,7 @@
     Freeze,
 }
 
-/// Returns a fleet in which an organisation with a quota of `tokens` per second has been quiet and starts a burst.
+/// Returns a fleet in which an organisation with a quota of `tokens` per second has been idle and starts a burst.
 fn burst(size: usize, tokens: f64, sharing: Sharing, seed: u64) -> Fleet {
     let organisations = vec![Organisation::new("one", tokens, 0.1)];
     let mut fleet = Fleet::new(size, organisations, sharing, seed);
@@ -44,10 +44,10 @@
 }
 
 /// Returns the usage in the fullest window if the first `count` instances, which are the preferred pools, fail
-/// `after` milliseconds into the burst.
-fn max_window_fill(size: usize, tokens: f64, count: usize, failure: Failure, after: u64) -> f64 {
-    let mut fleet = burst(size, tokens, Sharing::Pooled, after);
-    fleet.run(after);
+/// `after_ms` milliseconds into the burst.
+fn max_window_fill(size: usize, tokens: f64, count: usize, failure: Failure, after_ms: u64) -> f64 {
+    let mut fleet = burst(size, tokens, Sharing::Pooled, after_ms);
+    fleet.run(after_ms);
     for index in 0..count {
         fail(&mut fleet, index, failure);
     }
@@ -62,13 +62,13 @@
     for size in [6, 74] {
         for tokens in [300_000.0, 30_000.0] {
             for failure in failures {
-                for after in FAILURE_TIMES_MS {
+                for after_ms in FAILURE_TIMES_MS {
                     let max_window_fill =
-                        max_window_fill(size, tokens, failed_count(size), *failure, after);
+                        max_window_fill(size, tokens, failed_count(size), *failure, after_ms);
                     expect_that!(
                         max_window_fill,
                         lt(1.0),
-                        "{size} {tokens} {failure:?} after {after} ms"
+                        "{size} {tokens} {failure:?} after {after_ms} ms"
                     );
                 }
             }
@@ -177,8 +177,8 @@
                 .map(|_| {
                     fleet.reset_stats();
                     fleet.run(1_000);
-                    let pace = 300_000.0 * 9.0 / 8.0;
-                    format!("{:.2}", fleet.stats.granted_tokens / pace)
+                    let sustained_tokens = 300_000.0 * 9.0 / 8.0;
+                    format!("{:.2}", fleet.stats.granted_tokens / sustained_tokens)
                 })
                 .collect();
             println!("{size} instances, {count} killed: {}", seconds.join(" "));
--- a/crates/ploverwick_routes/src/route.rs
+++ b/crates/ploverwick_routes/src/route.rs
@@ -52,9 +52,9 @@
     pub prefix: Arc<str>,
     /// Whether and how its requests may be retried.
     pub kind: Kind,
-    /// The maximum time that a request may wait.
+    /// The maximum time from the arrival of a request to the end of its response. A client may set a shorter one.
     pub timeout: Duration,
-    /// The target latency: the time within which a response has its full value.
+    /// The latency objective: a response within this time has its full value to the client.
     pub objective: Duration,
     /// How long a client waits for each event of a stream, including the first, before it disconnects;
     /// `None` if it waits indefinitely.
@@ -72,15 +72,15 @@
 impl Route {
     /// Chooses the service for a request.
     ///
-    /// `fraction` is a number in [0, 1) that varies between requests.
+    /// `fraction` is in [0, 1) and should be evenly distributed over the requests.
     pub fn service(&self, fraction: f64) -> Option<&Arc<str>> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = fraction * total;
+        let mut remaining = fraction * total;
         for share in &self.shares {
-            if left < share.weight {
+            if remaining < share.weight {
                 return Some(&share.service);
             }
-            left -= share.weight;
+            remaining -= share.weight;
         }
         self.shares.last().map(|share| &share.service)
     }
--- a/crates/ploverwick_serve/src/server.rs
+++ b/crates/ploverwick_serve/src/server.rs
@@ -19,11 +19,11 @@
 /// The delay after a failed accept, for example when the process has run out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Limits of a server.
+/// The connection, time and size limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// The maximum number of concurrent connections; further ones wait to be accepted.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The maximum time in which the header section of a request must arrive.
     pub header_timeout: Duration,
     /// The maximum length of the header section of a request in bytes.
@@ -33,7 +33,7 @@
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            connections: 4096,
+            max_connections: 4096,
             header_timeout: Duration::from_secs(10),
             max_header_bytes: 32 << 10,
         }
@@ -52,7 +52,7 @@
     ) -> impl Future<Output = Result<Reply, std::io::Error>> + Send;
 }
 
-/// A server that runs until the [`StopGuard`] of its [`StopSignal`] is dropped.
+/// A server that runs until the [`StopGuard`](crate::StopGuard) of its [`StopSignal`] is dropped.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -73,7 +73,7 @@
         let address = listener.local_addr()?;
         // The accept loop and every connection hold a sender; dropping the last one closes the channel.
         let (guard, done) = mpsc::channel(1);
-        tokio::spawn(accept(listener, handler, bounds, stop, guard));
+        tokio::spawn(accept_connections(listener, handler, bounds, stop, guard));
         Ok(Self { address, done })
     }
 
@@ -88,14 +88,14 @@
     }
 }
 
-async fn accept<H: Handler>(
+async fn accept_connections<H: Handler>(
     listener: TcpListener,
     handler: Arc<H>,
     bounds: Bounds,
     mut stop: StopSignal,
     guard: mpsc::Sender<()>,
 ) {
-    let permits = Arc::new(Semaphore::new(bounds.connections));
+    let permits = Arc::new(Semaphore::new(bounds.max_connections));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
@@ -112,7 +112,7 @@
         let stop = stop.clone();
         let guard = guard.clone();
         tokio::spawn(async move {
-            connection(stream, handler, bounds, stop).await;
+            serve_connection(stream, handler, bounds, stop).await;
             drop(permit);
             drop(guard);
         });
@@ -120,7 +120,7 @@
 }
 
 /// Serves one connection. On the stop signal it finishes the current request and closes.
-async fn connection<H: Handler>(
+async fn serve_connection<H: Handler>(
     stream: TcpStream,
     handler: Arc<H>,
     bounds: Bounds,
--- a/crates/ploverwick_topics/tests/subscription_histories.rs
+++ b/crates/ploverwick_topics/tests/subscription_histories.rs
@@ -13,8 +13,9 @@
 const TICK: u64 = 10;
 /// The duration of a simulation.
 const DURATION_MS: u64 = 60_000;
-/// The interval between status messages, and the number of peers of the same domain that receive one.
+/// The interval between status messages.
 const STATUS_INTERVAL_MS: u64 = 150;
+/// The number of peers of the same domain that receive a status message.
 const STATUS_PEERS: usize = 8;
 /// The interval at which the first instance of a domain reports the end of the topic to other domains.
 const END_REPORT_INTERVAL_MS: u64 = 600;
@@ -30,8 +31,8 @@
 
 #[derive(Clone, Copy)]
 enum Call {
-    All,
-    On {
+    ReadAll,
+    ReadOn {
         from: Position,
         waits: bool,
         until: u64,
@@ -70,7 +71,7 @@
     healthy_since: u64,
 }
 
-/// Gives one instance in twelve more CPU capacity than the others have.
+/// Instances whose name ends in 7, one in ten to twelve, have more CPU capacity than the others.
 fn candidate(instance: &Instance) -> Candidate<'_> {
     let is_large = instance.name.ends_with('7');
     Candidate {
@@ -85,7 +86,7 @@
     instances: Vec<Instance>,
     /// When each record was written.
     records: Vec<u64>,
-    /// The number of times the store has been restored.
+    /// The number of times the store has been restored from a copy.
     era: u64,
     /// Whether the store reports its era; if not, positions differ by offset only.
     reports_era: bool,
@@ -93,14 +94,14 @@
     has_restores: bool,
     messages: VecDeque<(u64, usize, Message)>,
     calls: u64,
-    loss: f64,
+    loss_rate: f64,
     max_delay: u64,
 }
 
 impl Simulation {
-    fn new(domains: usize, each: usize, seed: u64) -> Self {
+    fn new(domains: usize, per_domain: usize, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let instances = (0..domains * each)
+        let instances = (0..domains * per_domain)
             .map(|n| Instance {
                 name: format!("i{n:03}"),
                 domain: n % domains,
@@ -126,7 +127,7 @@
             has_restores: false,
             messages: VecDeque::new(),
             calls: 0,
-            loss: 0.02,
+            loss_rate: 0.02,
             max_delay: 0,
         }
     }
@@ -139,7 +140,7 @@
     }
 
     fn send(&mut self, to: usize, message: Message) {
-        if !self.random.random_bool(self.loss) {
+        if !self.random.random_bool(self.loss_rate) {
             let at = self.now + self.random.random_range(1..30);
             self.messages.push_back((at, to, message));
         }
@@ -203,8 +204,8 @@
             return;
         }
         let is_partitioned = self.instances[own].partitioned_until > now;
-        if let Some((call, asked)) = self.instances[own].call {
-            return self.answer(own, call, asked, is_partitioned);
+        if let Some((call, called_at)) = self.instances[own].call {
+            return self.answer(own, call, called_at, is_partitioned);
         }
         if self.instances[own].retry_at > now {
             return;
@@ -217,27 +218,27 @@
                 }
                 return;
             }
-            Step::ReadAll => Call::All,
+            Step::ReadAll => Call::ReadAll,
             Step::ReadOn { from, waits } => {
                 let until = if waits { now + LONG_POLL_MS } else { now };
-                Call::On { from, waits, until }
+                Call::ReadOn { from, waits, until }
             }
         };
         self.calls += 1;
         let instance = &mut self.instances[own];
         instance.subscription.start_read(Moment(now));
-        if matches!(call, Call::On { waits: true, .. }) {
+        if matches!(call, Call::ReadOn { waits: true, .. }) {
             instance.reading = Reading::Reads;
         }
         instance.call = Some((call, now));
     }
 
-    fn answer(&mut self, own: usize, call: Call, asked: u64, is_partitioned: bool) {
+    fn answer(&mut self, own: usize, call: Call, called_at: u64, is_partitioned: bool) {
         let (now, end) = (self.now, self.end());
         let instance = &mut self.instances[own];
         if is_partitioned {
             // A long partition makes the call time out; a shorter one only delays the answer.
-            if now >= asked + CALL_TIMEOUT_MS
+            if now >= called_at + CALL_TIMEOUT_MS
                 && now + CALL_TIMEOUT_MS <= instance.partitioned_until + CALL_TIMEOUT_MS
             {
                 instance.call = None;
@@ -248,16 +249,16 @@
             return;
         }
         match call {
-            Call::All => {
+            Call::ReadAll => {
                 instance.known_records.extend(&self.records);
                 instance.subscription.finish_read(end);
                 instance.call = None;
             }
-            Call::On { from, .. } if from.era < end.era || from > end => {
+            Call::ReadOn { from, .. } if from.era < end.era || from > end => {
                 instance.subscription.reset();
                 instance.call = None;
             }
-            Call::On { from, waits, until } => {
+            Call::ReadOn { from, waits, until } => {
                 if end == from && now < until {
                     return;
                 }
@@ -317,8 +318,8 @@
             }
         }
         // The first instance of a domain by name stands in for its placer.
-        let places = self.peers(own).iter().all(|peer| *peer > own);
-        if places && now.is_multiple_of(END_REPORT_INTERVAL_MS) {
+        let is_placer = self.peers(own).iter().all(|peer| *peer > own);
+        if is_placer && now.is_multiple_of(END_REPORT_INTERVAL_MS) {
             for peer in 0..self.instances.len() {
                 if self.instances[peer].domain != domain {
                     self.send(peer, Message::End(end));
@@ -330,23 +331,23 @@
     fn inject_fault(&mut self) {
         let now = self.now;
         let own = self.random.random_range(0..self.instances.len());
-        let lasts = self.random.random_range(500..8_000);
+        let duration = self.random.random_range(500..8_000);
         let kind = self.random.random_range(0..3);
-        let chance = self.random.random_range(0.0..1.0);
+        let jitter = self.random.random_range(0.0..1.0);
         let instance = &mut self.instances[own];
         match kind {
             0 => {
-                instance.down_until = now + lasts;
-                instance.subscription = Subscription::new(chance, Moment(now + lasts));
+                instance.down_until = now + duration;
+                instance.subscription = Subscription::new(jitter, Moment(now + duration));
                 instance.known_records.clear();
                 instance.last_heard.clear();
                 instance.call = None;
                 instance.reading = Reading::Rests;
             }
-            1 => instance.frozen_until = now + lasts,
-            _ => instance.partitioned_until = now + lasts,
+            1 => instance.frozen_until = now + duration,
+            _ => instance.partitioned_until = now + duration,
         }
-        instance.healthy_since = instance.healthy_since.max(now + lasts);
+        instance.healthy_since = instance.healthy_since.max(now + duration);
     }
 
     /// Updates the maximum delay with the records that healthy instances are missing.
@@ -411,17 +412,17 @@
 /// reads once at its start, and lost messages cause further reads.
 #[gtest]
 fn calls_grow_with_domains() {
-    let calls = |each: usize| {
-        let mut simulation = Simulation::new(3, each, 7);
+    let calls = |per_domain: usize| {
+        let mut simulation = Simulation::new(3, per_domain, 7);
         simulation.run(0.0, 2_000);
         let starts = simulation.instances.len() as u64;
         (simulation.calls - starts, simulation.max_delay)
     };
-    let (few, _) = calls(4);
-    let (many, max_delay) = calls(40);
-    // 30 records and 6 readers; 2 of 100 messages from each of two readers are lost.
-    expect_that!(few, le(6 * 32 + 6));
-    expect_that!(many, le(6 * 32 + 30));
+    let (calls_with_4, _) = calls(4);
+    let (calls_with_40, max_delay) = calls(40);
+    // 6 readers, two per domain, read 30 records. The 2 of 100 messages that are lost cause further reads.
+    expect_that!(calls_with_4, le(6 * 32 + 6));
+    expect_that!(calls_with_40, le(6 * 32 + 30));
     expect_that!(max_delay, le(1_000));
 }
 
@@ -446,8 +447,8 @@
 /// During an outage of the store only a few instances per domain keep calling it, whatever the fleet size.
 #[gtest]
 fn outage_limits_calls() {
-    let calls = |each: usize| {
-        let mut simulation = Simulation::new(3, each, 3);
+    let calls = |per_domain: usize| {
+        let mut simulation = Simulation::new(3, per_domain, 3);
         for instance in &mut simulation.instances {
             instance.subscription.finish_read(0.into());
             instance.partitioned_until = DURATION_MS;
@@ -463,7 +464,8 @@
     expect_that!(calls(30), le(3 * (4 * often + 26 * seldom)));
 }
 
-/// Guards against instances that miss records whose offsets were already assigned before a restore.
+/// Guards against instances that miss the records written after a restore, whose offsets were already assigned before
+/// it.
 #[gtest]
 fn records_arrive_after_restores() {
     for seed in 0..8 {
