--- a/crates/ploverwick_gateway/src/broadcast/periodic.rs
+++ b/crates/ploverwick_gateway/src/broadcast/periodic.rs
@@ -14,7 +14,8 @@
 use crate::shared::Shared;
 use crate::state::State;
 
-/// The maximum number of loads, digests, limits or endpoints in one message; half of it for adapters in use.
+/// The maximum number of loads, digests, limits or endpoints in one message. A message that lists adapters in
+/// use has at most half as many entries.
 pub(super) const MAX_ITEMS_PER_MESSAGE: usize = 48;
 /// The interval between rounds of messages to peers of the same failure domain.
 const INTERVAL: Duration = Duration::from_millis(150);
@@ -57,7 +58,7 @@
     // A gap between ticks that exceeds the interval reveals that the process was suspended.
     state.watermark.tick(now);
     limits::assign_shares(shared, &mut state, now);
-    let places = state.placer_lease.token(now);
+    let placer_token = state.placer_lease.token(now);
     let is_remote_round = round.is_multiple_of(REMOTE_INTERVAL_ROUNDS);
     let mut to = status_recipients(shared, &state, round, now);
     if is_remote_round {
@@ -66,18 +67,18 @@
             .retain(|(_, left)| now.since(*left) < FORMER_PEER_RETENTION);
         to.extend(state.former_peers.iter().map(|(ip, _)| *ip));
     }
-    let mut messages = vec![(status(shared, &state, places, |_| true), to)];
+    let mut messages = vec![(status(shared, &state, placer_token, |_| true), to)];
     if is_remote_round {
-        remote_statuses(shared, &state, places, now, &mut messages);
+        remote_statuses(shared, &state, placer_token, now, &mut messages);
     }
-    if places.is_some() {
+    if placer_token.is_some() {
         let local = domain_peers(shared, &state);
         if round.is_multiple_of(TOTALS_INTERVAL_ROUNDS) {
             let mut to = local.clone();
             if is_remote_round {
                 to.extend(remote_relays(shared, &state, now));
             }
-            chunks(
+            push_chunks(
                 totals(shared, &state, now),
                 &to,
                 Message::LoadTotals,
@@ -87,7 +88,7 @@
         if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) {
             let mut to = local;
             to.extend(remote_relays(shared, &state, now));
-            chunks(
+            push_chunks(
                 digests(&state),
                 &to,
                 Message::EndpointDigests,
@@ -101,15 +102,15 @@
         let updates = state
             .limits
             .recent_updates(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
-        chunks(updates, &to, Message::EndpointLimits, &mut messages);
+        push_chunks(updates, &to, Message::EndpointLimits, &mut messages);
         let draining = state
             .departures
             .recent(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
-        chunks(draining, &to, Message::Draining, &mut messages);
+        push_chunks(draining, &to, Message::Draining, &mut messages);
     }
     if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) && !state.quarantine.is_empty() {
         let mut to = status_recipients(shared, &state, round, now);
-        if places.is_some() {
+        if placer_token.is_some() {
             to.extend(remote_relays(shared, &state, now));
         }
         let digests = state.quarantine.digests();
@@ -125,8 +126,8 @@
     messages
 }
 
-/// Splits a list into messages of bounded size.
-fn chunks<T>(
+/// Splits a list into messages of bounded size and adds them to `messages`.
+fn push_chunks<T>(
     mut list: Vec<T>,
     to: &[IpAddr],
     message: impl Fn(Vec<T>) -> Message,
@@ -159,7 +160,7 @@
 fn status(
     shared: &Shared,
     state: &State,
-    places: Option<u64>,
+    placer_token: Option<u64>,
     is_relevant: impl Fn(&str) -> bool,
 ) -> Message {
     let loads = state.fleet.own_loads().into_iter();
@@ -169,7 +170,7 @@
         instance: Arc::clone(&shared.settings.instance),
         domain: Arc::clone(&shared.settings.domain),
         capacity: shared.settings.capacity,
-        placer_token: places,
+        placer_token,
         waiting: u32::try_from(state.placer.waiting()).unwrap_or(u32::MAX),
         read_states: state.read_states,
         loads: loads.collect(),
@@ -177,11 +178,11 @@
 }
 
 /// Adds status messages to other failure domains with the load at their endpoints. They go to the relays of
-/// each domain; a placer sends them to all instances, so that they know it.
+/// each domain; a placer sends them to all instances, so that each instance knows the placer.
 fn remote_statuses(
     shared: &Shared,
     state: &State,
-    places: Option<u64>,
+    placer_token: Option<u64>,
     now: Moment,
     messages: &mut Vec<(Message, Vec<IpAddr>)>,
 ) {
@@ -193,9 +194,9 @@
             entry.is_some_and(|entry| entry.domain == *domain)
         };
         let peers = state.peers.values().filter(|peer| peer.domain == *domain);
-        let recipients = peers.filter(|peer| places.is_some() || relays.contains(&peer.ip));
+        let recipients = peers.filter(|peer| placer_token.is_some() || relays.contains(&peer.ip));
         let to = recipients.map(|peer| peer.ip).collect();
-        messages.push((status(shared, state, places, is_in_domain), to));
+        messages.push((status(shared, state, placer_token, is_in_domain), to));
     }
 }
 
@@ -226,7 +227,7 @@
     digests.collect()
 }
 
-/// Reports which adapters are in use to the placers, which may unload the others.
+/// Adds messages that tell the placers which adapters are in use; a placer may unload the others.
 fn report_uses(
     own: IpAddr,
     state: &mut State,
--- a/crates/ploverwick_gateway/src/controllers/demand.rs
+++ b/crates/ploverwick_gateway/src/controllers/demand.rs
@@ -1,4 +1,4 @@
-//! Handles requests for adapters, and places the adapters if this instance is the placer.
+//! Requests adapters that are needed, and places the adapters if this instance is the placer.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 pub(crate) fn request_adapter(shared: &Arc<Shared>, domain: &str, copy: &Copy, need: Need) -> bool {
     let now = shared.now();
     let state = shared.state();
-    let is_own = *domain == *shared.settings.domain && state.placer_lease.is_held(now);
+    let is_own_placer = *domain == *shared.settings.domain && state.placer_lease.is_held(now);
     let placer = state.placer_of(domain, now);
     drop(state);
-    if is_own {
-        handle_request(shared, copy, need);
+    if is_own_placer {
+        place_adapter(shared, copy, need);
         return true;
     }
     if let Some(ip) = placer {
@@ -26,7 +26,7 @@
 }
 
 /// Places an adapter that is needed, if this instance is the placer.
-pub(crate) fn handle_request(shared: &Arc<Shared>, copy: &Copy, need: Need) {
+pub(crate) fn place_adapter(shared: &Arc<Shared>, copy: &Copy, need: Need) {
     let now = shared.now();
     let mut state = shared.state();
     if !state.placer_lease.is_held(now) {
@@ -86,10 +86,10 @@
         return;
     }
     let mut endpoints = state.placer.endpoints();
-    let is_held_here = endpoints.any(|(_, slots)| slots.has_any_version(&copy.key));
+    let is_held_locally = endpoints.any(|(_, slots)| slots.has_any_version(&copy.key));
     drop(endpoints);
     drop(state);
-    if is_held_here {
-        handle_request(shared, copy, Need::Any);
+    if is_held_locally {
+        place_adapter(shared, copy, Need::Any);
     }
 }
--- a/crates/ploverwick_gateway/src/filters/retry.rs
+++ b/crates/ploverwick_gateway/src/filters/retry.rs
@@ -25,6 +25,7 @@
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(12);
 /// The `Retry-After` if endpoints refused the request or the retry budget is exhausted.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(200);
+
 /// The previous attempts of a request.
 #[derive(Debug, Default)]
 struct History {
@@ -35,7 +36,7 @@
     /// The number of sends that certainly did not run, including those that were never sent.
     refusals: u32,
     /// The endpoints that are not tried again.
-    except: Vec<Arc<str>>,
+    excluded: Vec<Arc<str>>,
     /// The last error answer of an endpoint, forwarded if no retry succeeds.
     error_response: Option<Response<Body>>,
     timings: Timings,
@@ -95,7 +96,7 @@
             return give_up(shared, &request, history, reply);
         }
         let begun = Instant::now();
-        let selected = select::run(shared, &request, &history.except).await;
+        let selected = select::run(shared, &request, &history.excluded).await;
         history.timings.placing += begun.elapsed();
         let target = match selected {
             Ok(target) => target,
@@ -155,7 +156,7 @@
         SendOutcome::Revoked(reply) => NextStep::GiveUp(reply),
         SendOutcome::Unsent(cause) => {
             history.refusals += 1;
-            history.except.push(Arc::clone(&target.entry.id));
+            history.excluded.push(Arc::clone(&target.entry.id));
             retry_refused(history, &cause, Duration::ZERO)
         }
         SendOutcome::NotRun { misdirected } => {
@@ -211,7 +212,7 @@
     if is_failure && may_retry(request, history.runs + 1) {
         history.sent += 1;
         history.runs += 1;
-        history.except.push(Arc::clone(&target.entry.id));
+        history.excluded.push(Arc::clone(&target.entry.id));
         history.error_response = Some(response);
         return NextStep::Retry(Duration::ZERO);
     }
@@ -235,7 +236,7 @@
 ) -> NextStep {
     history.sent += 1;
     history.runs += 1;
-    history.except.push(Arc::clone(&target.entry.id));
+    history.excluded.push(Arc::clone(&target.entry.id));
     if may_retry(request, history.runs) {
         return NextStep::Retry(Duration::ZERO);
     }
@@ -254,22 +255,22 @@
             let mut state = shared.state();
             state.directory.mark_unloaded(&target.entry.id, copy);
         }
-        None => history.except.push(Arc::clone(&target.entry.id)),
+        None => history.excluded.push(Arc::clone(&target.entry.id)),
     }
 }
 
-/// Returns the deadline for the head of an answer. It is the request's own deadline, unless the request may be
-/// retried or the adapter's version may be replaced in the meantime.
+/// Returns the deadline for the head of an answer. It is earlier than the request's own deadline if the request
+/// may be retried or the adapter's version may be replaced in the meantime.
 fn answer_deadline(request: &AdmittedRequest, target: &Target, history: &History) -> Instant {
-    let last = target
+    let latest = target
         .start_deadline
         .unwrap_or(request.deadline)
         .min(request.deadline);
     if !may_retry(request, history.runs + 1) {
-        return last;
+        return latest;
     }
     let timeout = answer_timeout(request.route.objective, target.expected_wait);
-    (Instant::now() + timeout).min(last)
+    (Instant::now() + timeout).min(latest)
 }
 
 fn give_up(
@@ -295,7 +296,7 @@
             history.sent,
             history.runs,
             history.refusals,
-            history.except,
+            history.excluded,
             format_last_send(&history),
             reply.code,
             reply.detail,
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -70,7 +70,7 @@
         }
         Message::LoadTotals(loads) => handle_totals(shared, loads),
         Message::AdapterUses(list) => handle_uses(shared, &list, from),
-        Message::Need { copy, need } => demand::handle_request(shared, &copy, need),
+        Message::Need { copy, need } => demand::place_adapter(shared, &copy, need),
         Message::EndpointReport { endpoint, adapters } => {
             let copies = messages::copies(adapters);
             shared
--- a/crates/ploverwick_gateway/src/state.rs
+++ b/crates/ploverwick_gateway/src/state.rs
@@ -22,9 +22,9 @@
 use crate::incarnations::Incarnations;
 use crate::topics::ReadStates;
 
-/// How long after its last message a placer still counts as available. After that, it is not asked to load
-/// what another failure domain can load. A placer sends to other domains every 600 ms, so two messages are
-/// missing by then.
+/// How long after its last message a placer still counts as available. An adapter that another failure domain
+/// can load is not requested from an unavailable placer. A placer sends to other domains every 600 ms, so two
+/// messages are missing by then.
 const PLACER_TIMEOUT: Duration = Duration::from_millis(1_300);
 /// How long after its last message a peer still counts as alive.
 pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -72,7 +72,7 @@
     /// It has read the list.
     Read,
     /// It has read the list with its own entry. It then knows all instances that were listed earlier, and
-    /// instances that are listed later read its entry before their own counts.
+    /// an instance that is listed later reads this entry before its own takes effect.
     Listed,
 }
 
@@ -80,6 +80,7 @@
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) config: Option<Arc<Config>>,
+    /// Whether this instance knows the list of endpoints.
     pub(crate) has_roster: bool,
     /// When a peer last sent a digest of the list of endpoints that matched this instance's list.
     pub(crate) roster_confirmed_at: Option<Moment>,
@@ -98,9 +99,9 @@
     /// The incarnations of the endpoints in `fleet`.
     pub(crate) incarnations: Incarnations,
     pub(crate) directory: Directory,
-    /// The bound on the age of the operator's records.
+    /// Bounds how old the records of the operator's topic may be.
     pub(crate) watermark: Watermark,
-    /// The proven age of the configuration.
+    /// Proves how recent the configuration is.
     pub(crate) freshness: Freshness,
     /// How far this instance has read each topic of the store.
     pub(crate) read_states: ReadStates,
@@ -224,8 +225,8 @@
         is_alive.then_some(placer.waiting)
     }
 
-    /// Returns how many live instances of this failure domain rank before this one. The first ones call
-    /// the store for the others.
+    /// Returns how many live instances of this failure domain rank before this one. The
+    /// highest-ranked instances read the store for the others.
     pub(crate) fn rank(&self, settings: &Settings, now: Moment) -> usize {
         let before = self.peers.iter().filter(|(name, peer)| {
             let is_alive = peer
--- a/crates/ploverwick_gateway/tests/endpoint_limits.rs
+++ b/crates/ploverwick_gateway/tests/endpoint_limits.rs
@@ -2,8 +2,8 @@
 //!
 //! Guards against sending more requests than an endpoint's limit allows. Two endpoints reported limits of 2.5 and 2.1
 //! requests per second and got 24 and 32 requests in four seconds from instances that had received such responses.
-//! The instances ignored the reported limit, no count was kept over all instances, and the placer loaded more adapters
-//! at the endpoints. Instances log `endpoint_limit` when they learn of a limit.
+//! The instances ignored the reported limit, nothing counted requests across all instances, and the placer loaded more
+//! adapters at the endpoints. Instances log `endpoint_limit` when they learn of a limit.
 
 mod common;
 
@@ -22,8 +22,8 @@
 
 /// The names and failure domains of the instances.
 const INSTANCES: [(&str, &str); 4] = [("a", "d1"), ("b", "d1"), ("c", "d2"), ("e", "d2")];
-/// Longer than the instances take to discover each other.
-const SETTLED: Duration = Duration::from_millis(2_500);
+/// A delay after which the instances have discovered each other.
+const DISCOVERY_DELAY: Duration = Duration::from_millis(2_500);
 /// How long a limit takes to be in force at an instance that has forwarded a response that reports it.
 const LIMIT_DELAY: Duration = Duration::from_millis(500);
 /// The window over which requests are counted.
@@ -38,7 +38,7 @@
     store: Store,
     port: u16,
     /// The last octet of the IP address of the most recently started instance.
-    host: u8,
+    last_octet: u8,
     endpoints: Vec<Endpoint>,
     instances: Vec<Instance>,
     /// The number of requests sent.
@@ -61,22 +61,22 @@
         let mut deployment = Self {
             store,
             port: free_port()?,
-            host: 0,
+            last_octet: 0,
             endpoints: all,
             instances: Vec::new(),
             sent: 0,
         };
         for (name, domain) in INSTANCES {
-            deployment.start_one(name, domain, true).await?;
+            deployment.start_instance(name, domain, true).await?;
         }
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(DISCOVERY_DELAY).await;
         Ok(deployment)
     }
 
     /// Starts an instance at a new IP address.
-    async fn start_one(&mut self, name: &str, domain: &str, is_first: bool) -> Result<()> {
-        self.host += 1;
-        let ip = Ipv4Addr::new(127, 0, 0, self.host);
+    async fn start_instance(&mut self, name: &str, domain: &str, is_first: bool) -> Result<()> {
+        self.last_octet += 1;
+        let ip = Ipv4Addr::new(127, 0, 0, self.last_octet);
         let mut settings = settings::of(name, ip, self.port, self.store.address());
         settings.domain = Arc::from(domain);
         settings.first_start = is_first;
@@ -88,7 +88,7 @@
     async fn restart(&mut self, number: usize) -> Result<()> {
         self.instances.remove(number).served.abort();
         let (name, domain) = INSTANCES[number];
-        self.start_one(name, domain, false).await
+        self.start_instance(name, domain, false).await
     }
 
     /// Sends a request through the next instance.
@@ -108,12 +108,12 @@
         model: Option<&str>,
     ) -> Result<Vec<ClientResponse>> {
         let started = Instant::now();
-        let mut got = Vec::new();
+        let mut responses = Vec::new();
         while started.elapsed() < time {
-            got.push(self.request(path, model).await?);
+            responses.push(self.request(path, model).await?);
             tokio::time::sleep(REQUEST_INTERVAL).await;
         }
-        Ok(got)
+        Ok(responses)
     }
 }
 
@@ -140,18 +140,19 @@
     let mut deployment = Deployment::start("app", None, 4).await?;
     deployment.endpoints[0].set_limit(Some("2.5"));
     deployment.request_for(LIMIT_DELAY, "/safe/", None).await?;
-    let in_force = Instant::now() + LIMIT_DELAY;
-    let got = deployment
+    let in_force_at = Instant::now() + LIMIT_DELAY;
+    let responses = deployment
         .request_for(WINDOW + LIMIT_DELAY * 3, "/safe/", None)
         .await?;
     assert_that!(
-        got.iter()
-            .filter(|got| got.status != StatusCode::OK)
+        responses
+            .iter()
+            .filter(|response| response.status != StatusCode::OK)
             .count(),
         eq(0)
     );
     assert_that!(
-        max_in_window(&deployment.endpoints[0], in_force),
+        max_in_window(&deployment.endpoints[0], in_force_at),
         all![ge(1), le(max_requests(2.5))]
     );
     Ok(())
@@ -165,22 +166,24 @@
         endpoint.set_limit(Some("2"));
     }
     deployment.request_for(LIMIT_DELAY, "/once/", None).await?;
-    let in_force = Instant::now() + LIMIT_DELAY;
-    let got = deployment
+    let in_force_at = Instant::now() + LIMIT_DELAY;
+    let responses = deployment
         .request_for(WINDOW + LIMIT_DELAY * 3, "/once/", None)
         .await?;
-    let refused = got
+    let refused = responses
         .iter()
-        .filter(|got| got.status == StatusCode::TOO_MANY_REQUESTS);
-    let with_retry_after = refused.filter(|got| got.retry_after.is_some()).count();
-    let served = got
+        .filter(|response| response.status == StatusCode::TOO_MANY_REQUESTS);
+    let with_retry_after = refused
+        .filter(|response| response.retry_after.is_some())
+        .count();
+    let served = responses
         .iter()
-        .filter(|got| got.status == StatusCode::OK)
+        .filter(|response| response.status == StatusCode::OK)
         .count();
     assert_that!(served, ge(4));
-    assert_that!(with_retry_after + served, eq(got.len()));
+    assert_that!(with_retry_after + served, eq(responses.len()));
     for endpoint in &deployment.endpoints {
-        assert_that!(max_in_window(endpoint, in_force), le(max_requests(2.0)));
+        assert_that!(max_in_window(endpoint, in_force_at), le(max_requests(2.0)));
     }
     Ok(())
 }
@@ -199,8 +202,8 @@
     for _ in 0..20 {
         let instance = deployment.instances.last().expect("one has just started");
         let request = ClientRequest::new("started", HOST, "/safe/");
-        let got = client::send(instance.front, &request).await?;
-        assert_that!(got.status, eq(StatusCode::OK));
+        let response = client::send(instance.front, &request).await?;
+        assert_that!(response.status, eq(StatusCode::OK));
     }
     assert_that!(deployment.endpoints[0].requests_received(), eq(before));
     Ok(())
@@ -219,11 +222,11 @@
         .request_for(LIMIT_DELAY * 4, "/safe/", None)
         .await?;
     let before = deployment.endpoints[0].requests_received();
-    let got = deployment
+    let responses = deployment
         .request_for(LIMIT_DELAY * 4, "/safe/", None)
         .await?;
     let regained = deployment.endpoints[0].requests_received() - before;
-    assert_that!(regained, ge(got.len() / 8));
+    assert_that!(regained, ge(responses.len() / 8));
     Ok(())
 }
 
@@ -240,16 +243,17 @@
     let holder = holder.expect("there are endpoints").clone();
     holder.set_limit(Some("1.5"));
     deployment.request_for(LIMIT_DELAY, "/live/", model).await?;
-    let in_force = Instant::now() + LIMIT_DELAY;
-    let got = deployment
+    let in_force_at = Instant::now() + LIMIT_DELAY;
+    let responses = deployment
         .request_for(WINDOW + LIMIT_DELAY * 3, "/live/", model)
         .await?;
     assert_that!(
-        got.iter()
-            .filter(|got| got.status != StatusCode::OK)
+        responses
+            .iter()
+            .filter(|response| response.status != StatusCode::OK)
             .count(),
         eq(0)
     );
-    assert_that!(max_in_window(&holder, in_force), le(max_requests(1.5)));
+    assert_that!(max_in_window(&holder, in_force_at), le(max_requests(1.5)));
     Ok(())
 }
