--- a/crates/ploverwick_gateway/src/broadcast/periodic.rs
+++ b/crates/ploverwick_gateway/src/broadcast/periodic.rs
@@ -14,7 +14,8 @@
 use crate::shared::Shared;
 use crate::state::State;
 
-/// The maximum number of loads, digests, limits or endpoints in one message; half of it for adapters in use.
+/// The maximum number of loads, digests, limits or endpoints in one message. A message that lists adapters in
+/// use has at most half as many entries.
 pub(super) const MAX_ITEMS_PER_MESSAGE: usize = 48;
 /// The interval between rounds of messages to peers of the same failure domain.
 const INTERVAL: Duration = Duration::from_millis(150);
@@ -77,7 +78,7 @@
             if is_remote_round {
                 to.extend(remote_relays(shared, &state, now));
             }
-            chunks(
+            push_chunks(
                 totals(shared, &state, now),
                 &to,
                 Message::LoadTotals,
@@ -87,7 +88,7 @@
         if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) {
             let mut to = local;
             to.extend(remote_relays(shared, &state, now));
-            chunks(
+            push_chunks(
                 digests(&state),
                 &to,
                 Message::EndpointDigests,
@@ -101,11 +102,11 @@
         let updates = state
             .limits
             .recent_updates(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
-        chunks(updates, &to, Message::EndpointLimits, &mut messages);
+        push_chunks(updates, &to, Message::EndpointLimits, &mut messages);
         let draining = state
             .draining_reports
             .recent(INTERVAL * DIGEST_INTERVAL_ROUNDS, now);
-        chunks(draining, &to, Message::Draining, &mut messages);
+        push_chunks(draining, &to, Message::Draining, &mut messages);
     }
     if round.is_multiple_of(DIGEST_INTERVAL_ROUNDS) && !state.quarantine.is_empty() {
         let mut to = status_recipients(shared, &state, round, now);
@@ -125,8 +126,8 @@
     messages
 }
 
-/// Splits a list into messages of bounded size.
-fn chunks<T>(
+/// Splits a list into messages of bounded size and adds them to `messages`.
+fn push_chunks<T>(
     mut list: Vec<T>,
     to: &[IpAddr],
     message: impl Fn(Vec<T>) -> Message,
@@ -177,7 +178,7 @@
 }
 
 /// Adds status messages to other failure domains with the load at their endpoints. They go to the relays of
-/// each domain; a placer sends them to all instances, so that they know it.
+/// each domain; a placer sends them to all instances, so that each instance knows the placer.
 fn remote_statuses(
     shared: &Shared,
     state: &State,
@@ -226,7 +227,7 @@
     digests.collect()
 }
 
-/// Reports which adapters are in use to the placers, which may unload the others.
+/// Adds messages that tell the placers which adapters are in use; a placer may unload the others.
 fn report_uses(
     own: IpAddr,
     state: &mut State,
--- a/crates/ploverwick_gateway/src/listen.rs
+++ b/crates/ploverwick_gateway/src/listen.rs
@@ -73,7 +73,7 @@
         Message::LoadTotals(loads) => handle_totals(shared, loads),
         Message::AdapterUses(list) => handle_uses(shared, &list, from),
         Message::LoadRequest { copy, need } => {
-            load_requests::handle_request(shared, &copy, need);
+            load_requests::place_adapter(shared, &copy, need);
         }
         Message::EndpointReport { endpoint, adapters } => {
             let copies = messages::copies(adapters);
