--- a/crates/ploverwick_bench/src/decide.rs
+++ b/crates/ploverwick_bench/src/decide.rs
@@ -85,7 +85,7 @@
     Quota {
         rate: 1e9,
         burst: 1e9,
-        unit: Unit::Tokens { default: 200 },
+        unit: Unit::Tokens { plain: 200 },
     }
 }
 
--- a/crates/ploverwick_gateway/src/controllers/pauses.rs
+++ b/crates/ploverwick_gateway/src/controllers/pauses.rs
@@ -16,8 +16,8 @@
     retry_after: RetryAfter,
 ) {
     let pause = match retry_after {
-        RetryAfter::Absent | RetryAfter::Delay(Duration::ZERO) => return,
-        RetryAfter::Delay(pause) => pause,
+        RetryAfter::Unnamed | RetryAfter::Named(Duration::ZERO) => return,
+        RetryAfter::Named(pause) => pause,
         RetryAfter::Malformed => {
             if shared.log_limiter.allow(shared.now()) {
                 spdlog::warn!("retry_after_malformed endpoint={} id={}", endpoint, id);
--- a/crates/ploverwick_quota/tests/fleet/mod.rs
+++ b/crates/ploverwick_quota/tests/fleet/mod.rs
@@ -49,7 +49,7 @@
             quota: Quota {
                 rate: tokens,
                 burst: tokens,
-                unit: Unit::Tokens { default: 200 },
+                unit: Unit::Tokens { plain: 200 },
             },
             rate: tokens * utilisation / MEAN_COST,
             reachable_instances: None,
--- a/crates/ploverwick_routes/src/organisation.rs
+++ b/crates/ploverwick_routes/src/organisation.rs
@@ -34,7 +34,9 @@
     /// A request costs as many units as it states tokens.
     Tokens {
         /// The cost of a request that states no number of tokens.
-        default: u32,
+        ///
+        /// A log line prints the name of the field, so it stays.
+        plain: u32,
     },
 }
 
@@ -61,7 +63,7 @@
     pub fn cost(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             Unit::Requests => 1,
-            Unit::Tokens { default } => tokens.unwrap_or(default),
+            Unit::Tokens { plain } => tokens.unwrap_or(plain),
         }
     }
 
